--- a/admission/hopeless_query.ts
+++ b/admission/infeasible_query.ts
@@ -11,9 +11,9 @@
  */
 
 /** What is to be expected of one shard. */
-export interface ShardChance {
+export interface ShardExpectation {
   /** Share of the calls to its leaf that come to nothing, 0 to 1. */
-  readonly lossShare: number;
+  readonly failureRate: number;
   /** Extra calls that its budget allows now. */
   readonly extraCallsLeft: number;
 }
@@ -38,12 +38,12 @@
  * @returns The shortfall; nothing where the query has a chance.
  */
 export function findShortfall(
-  chances: ReadonlyArray<ShardChance>,
+  chances: ReadonlyArray<ShardExpectation>,
   leastParts: number,
 ): PartsShortfall | undefined {
   let mean = 0;
   let variance = 0;
-  for (const { extraCallsLeft, lossShare } of chances) {
+  for (const { extraCallsLeft, failureRate: lossShare } of chances) {
     const calls = 1 + Math.min(MOST_EXTRA, Math.max(0, Math.floor(extraCallsLeft)));
     const chance = 1 - lossShare ** calls;
     mean += chance;
--- a/admission/hopeless_query_test.ts
+++ b/admission/infeasible_query_test.ts
@@ -1,17 +1,17 @@
 import t from "tap";
-import { findShortfall, type ShardChance } from "./hopeless_query.js";
+import { findShortfall, type ShardExpectation } from "./infeasible_query.js";
 
-function chances(count: number, chance: ShardChance): ReadonlyArray<ShardChance> {
+function chances(count: number, chance: ShardExpectation): ReadonlyArray<ShardExpectation> {
   return Array.from({ length: count }, () => chance);
 }
 
 t.test(
   "findShortfall() holds queries back whose calls are lost and whose budgets are spent",
   async (t) => {
-    const shedding = { lossShare: 0.6, extraCallsLeft: 0 };
+    const shedding = { failureRate: 0.6, extraCallsLeft: 0 };
     t.ok(
       findShortfall(
-        [...chances(31, { lossShare: 0, extraCallsLeft: 0 }), ...chances(56, shedding)],
+        [...chances(31, { failureRate: 0, extraCallsLeft: 0 }), ...chances(56, shedding)],
         83,
       ),
     );
@@ -19,10 +19,10 @@
 );
 
 t.test("findShortfall() lets begin what its budgets carry", async (t) => {
-  const shedding = { lossShare: 0.4, extraCallsLeft: 9 };
+  const shedding = { failureRate: 0.4, extraCallsLeft: 9 };
   t.notOk(
     findShortfall(
-      [...chances(31, { lossShare: 0, extraCallsLeft: 9 }), ...chances(56, shedding)],
+      [...chances(31, { failureRate: 0, extraCallsLeft: 9 }), ...chances(56, shedding)],
       83,
     ),
   );
@@ -31,6 +31,6 @@
 t.test(
   "findShortfall() never holds back where no call is lost, whatever the budgets",
   async (t) => {
-    t.notOk(findShortfall(chances(87, { lossShare: 0, extraCallsLeft: -3 }), 87));
+    t.notOk(findShortfall(chances(87, { failureRate: 0, extraCallsLeft: -3 }), 87));
   },
 );
--- a/admission/mod.ts
+++ b/admission/mod.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export * from "./hopeless_query.js";
+export * from "./infeasible_query.js";
 export * from "./overload.js";
+export * from "./persistent_queue.js";
 export * from "./queue_allowance.js";
-export * from "./standing_queue.js";
--- a/admission/overload.ts
+++ b/admission/overload.ts
@@ -43,7 +43,7 @@
  * @param queuesMs - The wait at the leaf of each shard, in milliseconds.
  * @returns The time in milliseconds.
  */
-export function decisiveQueueMs(queuesMs: ReadonlyArray<number>): number {
+export function queueQuantileMs(queuesMs: ReadonlyArray<number>): number {
   const longestFirst = queuesMs.toSorted((a, b) => b - a);
   return longestFirst[Math.floor(OVERLOADED_SHARE * longestFirst.length)] ?? 0;
 }
--- a/admission/overload_test.ts
+++ b/admission/overload_test.ts
@@ -1,10 +1,10 @@
 import t from "tap";
-import { decisiveQueueMs, findOverload, overloadRetryMs } from "./overload.js";
+import { findOverload, overloadRetryMs, queueQuantileMs } from "./overload.js";
 
 t.test("decisiveQueueMs() passes over the queues of a few shards", async (t) => {
-  t.equal(decisiveQueueMs([0, 0, 0, 0, 0, 0, 900, 900, 900, 900]), 0);
-  t.equal(decisiveQueueMs([0, 0, 0, 0, 0, 50, 60, 70, 80, 90]), 50);
-  t.equal(decisiveQueueMs([]), 0);
+  t.equal(queueQuantileMs([0, 0, 0, 0, 0, 0, 900, 900, 900, 900]), 0);
+  t.equal(queueQuantileMs([0, 0, 0, 0, 0, 50, 60, 70, 80, 90]), 50);
+  t.equal(queueQuantileMs([]), 0);
 });
 
 t.test("findOverload() refuses for a queue that stands, or that no answer can bear", async (t) => {
--- a/admission/standing_queue.ts
+++ b/admission/persistent_queue.ts
@@ -21,7 +21,7 @@
 }
 
 /** The latest looks at the queues of one index, the latest last. */
-export type QueueLooks = ReadonlyArray<Look>;
+export type QueueSamples = ReadonlyArray<Look>;
 
 /**
  * Notes a look.
@@ -30,7 +30,7 @@
  * @param look - The wait that was found, in milliseconds, and the moment.
  * @returns The looks that still count.
  */
-export function noteLook(looks: QueueLooks, look: Look): QueueLooks {
+export function addQueueSample(looks: QueueSamples, look: Look): QueueSamples {
   const recent = looks.filter(({ atMs }) => look.atMs - atMs < LOOK_MS);
   return [...recent.slice(1 - LOOKS), look];
 }
@@ -41,6 +41,6 @@
  * @param looks - The looks.
  * @returns The time in milliseconds; 0 while there are too few looks to tell.
  */
-export function standingQueueMs(looks: QueueLooks): number {
+export function persistentQueueMs(looks: QueueSamples): number {
   return looks.length < LOOKS ? 0 : Math.min(...looks.map(({ queueMs }) => queueMs));
 }
--- a/backend/leaf_protocol.ts
+++ b/backend/leaf_protocol.ts
@@ -8,7 +8,7 @@
  *
  * @module
  */
-import type { LackReason } from "../model/mod.js";
+import type { MissingReason } from "../model/mod.js";
 import type { LeafOutcome, LeafSignal } from "../pool/pool_messages.js";
 
 /** Headers of requests and answers. */
@@ -36,7 +36,7 @@
   readonly text: string;
 }
 
-const REFUSAL_REASONS: Readonly<Record<string, LackReason>> = {
+const REFUSAL_REASONS: Readonly<Record<string, MissingReason>> = {
   "wrong snapshot": "wrong snapshot",
   "not held": "not held",
   overloaded: "overloaded",
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -8,7 +8,7 @@
 import { writeFileSync } from "node:fs";
 import { Worker } from "node:worker_threads";
 import type { DaemonReport } from "../daemon/mod.js";
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import {
   Fleet,
   type FleetProcess,
@@ -31,7 +31,7 @@
 const WARM_UP_RATE = 25;
 const SERVICES = ["bidscope", "desk-api", "payout-ledger"] as const;
 
-const { settings } = settingsOrExit("Usage: npm run bench -- [--only NAME] [--json FILE]", {
+const { settings } = parseSettingsOrExit("Usage: npm run bench -- [--only NAME] [--json FILE]", {
   seed: { kind: "number", help: "Seed of the stand-ins", fallback: "1" },
   only: {
     kind: "text",
--- a/bench/memory_run.ts
+++ b/bench/memory_run.ts
@@ -8,8 +8,8 @@
  * @module
  */
 import { readFileSync } from "node:fs";
-import { BoxFleet, type PlatformBox, standinConfiguration } from "../platform/standin/mod.js";
-import { settingsOrExit } from "../settings/mod.js";
+import { BoxFleet, type PlatformBox, toOperatorConfiguration } from "../platform/standin/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import { pause } from "../standins/waiting.js";
 
 const SHARDS = Array.from({ length: 20 }, (_, index) => `shard-${index + 1}`);
@@ -29,9 +29,9 @@
   readonly answers: number;
 }
 
-const { settings } = settingsOrExit("Usage: npm run memory -- [--seconds N] [--boxes N]", {
-  seconds: { kind: "number", help: "Length of the run", fallback: "600", least: 20 },
-  boxes: { kind: "number", help: "Boxes, each a process", fallback: "2", least: 1, most: 20 },
+const { settings } = parseSettingsOrExit("Usage: npm run memory -- [--seconds N] [--boxes N]", {
+  seconds: { kind: "number", help: "Length of the run", fallback: "600", min: 20 },
+  boxes: { kind: "number", help: "Boxes, each a process", fallback: "2", min: 1, max: 20 },
 });
 
 /** As Linux tells it of a process. */
@@ -45,7 +45,7 @@
   const fleet = await BoxFleet.start();
   const gather = { shards: SHARDS, topRecords: 5, leastShare: 0.9 };
   const route = { host: HOST, name: "sweep", prefix: "/sweep/", repeatable: true, gather };
-  fleet.configure(standinConfiguration({ version: 1, routes: [route], services: SHARDS }));
+  fleet.configure(toOperatorConfiguration({ version: 1, routes: [route], services: SHARDS }));
   for (const service of SHARDS) {
     await fleet.addLeaf({ leafId: `${service}-a`, service });
     await fleet.addLeaf({ leafId: `${service}-b`, service, dataCentre: "hall-b" });
@@ -53,7 +53,7 @@
   for (let number = 0; number < settings.boxes; number++) {
     await fleet.addBox(number % 2 === 0 ? "hall-a" : "hall-b");
   }
-  await fleet.ready();
+  await fleet.waitUntilReady();
   return fleet;
 }
 
@@ -88,7 +88,7 @@
     while (!this.#stopped) {
       this.#asked += 1;
       const requestId = `m${this.#asked}`;
-      const { statusCode } = await this.#fleet.ask(box, { path: "/sweep/x", requestId });
+      const { statusCode } = await this.#fleet.sendRequest(box, { path: "/sweep/x", requestId });
       this.statuses.set(statusCode, (this.statuses.get(statusCode) ?? 0) + 1);
     }
   }
--- a/bench/naive_entry.ts
+++ b/bench/naive_entry.ts
@@ -10,7 +10,7 @@
 import { LEAF_HEADERS, LEAF_PATHS } from "../backend/mod.js";
 import type { LeafSpec, QueryRequest, Row, ServiceConfig, ShardMap } from "../model/mod.js";
 import { mergeRows } from "../query/mod.js";
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import { reply, type StandinRequest, serve } from "../standins/http.js";
 
 interface NaiveLeaf extends LeafSpec {
@@ -33,7 +33,7 @@
 const TRIES = 2;
 const IDLE_MS = 1_000;
 
-const { settings } = settingsOrExit("Usage: naive_entry --seed N", {
+const { settings } = parseSettingsOrExit("Usage: naive_entry --seed N", {
   seed: { kind: "number", help: "Seed of the choice of replicas", fallback: "1" },
 });
 let random = prand.xoroshiro128plus(settings.seed);
--- a/bench/play_days.ts
+++ b/bench/play_days.ts
@@ -9,7 +9,7 @@
 import { spawn } from "node:child_process";
 import { readdirSync } from "node:fs";
 import { join } from "node:path";
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 
 const USAGE =
   "Usage: npm run days -- --program PATH --site FILE [--only TEXT] [--jobs N] [--vary SEED]";
@@ -18,7 +18,7 @@
   program: { kind: "text", help: "The program that plays a day" },
   site: { kind: "text", help: "Site file to play the days on" },
   only: { kind: "text", help: "Plays only days whose name holds this text", fallback: "" },
-  jobs: { kind: "number", help: "Days played at a time", fallback: "3", least: 1, most: 8 },
+  jobs: { kind: "number", help: "Days played at a time", fallback: "3", min: 1, max: 8 },
   vary: { kind: "number", help: "Seed of other times and figures; 0 as written", fallback: "0" },
   why: { kind: "text", help: "Line for the journal", fallback: "the project's own days" },
 } as const;
@@ -32,7 +32,7 @@
   readonly row: string;
 }
 
-const { settings } = settingsOrExit(USAGE, SPECS);
+const { settings } = parseSettingsOrExit(USAGE, SPECS);
 
 function playDay(name: string): Promise<PlayedDay> {
   const file = join(FOLDER, `${name}.toml`);
--- a/bench/standby_cost.ts
+++ b/bench/standby_cost.ts
@@ -15,15 +15,18 @@
 import { request } from "undici";
 import { decodeFleetMessage, encodeFleetMessage } from "../fleet/mod.js";
 import type { Member } from "../model/mod.js";
-import { standinConfiguration, startPlatformStandin } from "../platform/standin/mod.js";
-import { settingsOrExit } from "../settings/mod.js";
+import { startPlatformStandin, toOperatorConfiguration } from "../platform/standin/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import { type FleetProcess, startProcess } from "../standins/processes.js";
 import { pause } from "../standins/waiting.js";
 
-const { settings } = settingsOrExit("Usage: npm run standby-cost -- [--boxes N] [--seconds N]", {
-  boxes: { kind: "number", help: "Boxes of the fleet", fallback: "195", least: 5, most: 250 },
-  seconds: { kind: "number", help: "Time that is measured", fallback: "20", least: 1, most: 600 },
-});
+const { settings } = parseSettingsOrExit(
+  "Usage: npm run standby-cost -- [--boxes N] [--seconds N]",
+  {
+    boxes: { kind: "number", help: "Boxes of the fleet", fallback: "195", min: 5, max: 250 },
+    seconds: { kind: "number", help: "Time that is measured", fallback: "20", min: 1, max: 600 },
+  },
+);
 
 const LOOPBACK = "127.0.0.1";
 
@@ -182,7 +185,7 @@
 platform.put(
   "config",
   "main",
-  standinConfiguration({ version: 1, routes: [route], services: SHARDS }),
+  toOperatorConfiguration({ version: 1, routes: [route], services: SHARDS }),
 );
 const others = new PlayedBoxes();
 const folder = mkdtempSync(join(tmpdir(), "rackvale-standby-"));
--- a/bin/rackvale_box.ts
+++ b/bin/rackvale_box.ts
@@ -5,8 +5,8 @@
  */
 import { Box, readPolicies } from "../box/mod.js";
 import { readBoxSettings, SETTINGS_VARIABLE, watchBoxSettings } from "../platform/mod.js";
-import { settingsOrExit } from "../settings/mod.js";
-import { boxTelemetry } from "../telemetry/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
+import { createBoxTelemetry } from "../telemetry/mod.js";
 
 const USAGE = "Usage: rackvale-box [--metrics-port PORT] [--metrics-path PATH] [--policies FILE]";
 
@@ -21,7 +21,7 @@
 } as const;
 
 async function main(): Promise<void> {
-  const { settings: own } = settingsOrExit(USAGE, SPECS);
+  const { settings: own } = parseSettingsOrExit(USAGE, SPECS);
   const settings = readBoxSettings(process.env[SETTINGS_VARIABLE]);
   if (settings.isErr()) {
     process.stderr.write(`${settings.error.message}\n`);
@@ -32,7 +32,7 @@
     process.stderr.write(`${policies.error}\n`);
     process.exit(2);
   }
-  const telemetry = boxTelemetry(settings.value.box);
+  const telemetry = createBoxTelemetry(settings.value.box);
   const port = own["metrics-port"];
   const box = new Box({
     settings: settings.value,
@@ -44,11 +44,11 @@
   process.on("SIGTERM", () => box.stop());
   process.on("SIGINT", () => box.stop());
   const watch = watchBoxSettings(process.env[SETTINGS_VARIABLE] ?? "", {
-    onSettings: (changed) => box.reload(changed),
+    onChange: (changed) => box.reload(changed),
     // The settings in force are kept; those that cannot be read must not end a box that serves.
-    onFault: ({ message }) => telemetry.event("error", "box: cannot reload", { reason: message }),
+    onError: ({ message }) => telemetry.event("error", "box: cannot reload", { reason: message }),
   });
-  process.on("SIGHUP", () => watch.look());
+  process.on("SIGHUP", () => watch.check());
   await box.start();
 }
 
--- a/bin/rackvale_entry.ts
+++ b/bin/rackvale_entry.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import { ENTRY_SPECS, startEntry } from "../entry/entry_shell.js";
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 
 const USAGE =
   "Usage: rackvale-entry --box NAME --data-centre NAME --address IP --peer-port PORT --caller-port PORT --platform URL";
 
-const { settings } = settingsOrExit(USAGE, ENTRY_SPECS);
+const { settings } = parseSettingsOrExit(USAGE, ENTRY_SPECS);
 const daemon = await startEntry(settings, { onEnd: () => process.exit(0) });
 process.on("SIGTERM", () => daemon.stop());
 process.on("SIGINT", () => daemon.stop());
--- a/box/_make_side_servers.ts
+++ b/box/_make_auxiliary_servers.ts
@@ -5,34 +5,38 @@
  */
 import type { LeafCalls } from "../calls/mod.js";
 import { nowMs } from "../clock/mod.js";
+import type { ClusterState } from "../cluster_state/mod.js";
 import type { FleetView, RelayPlaces } from "../fleet/mod.js";
-import type { BoxKnowledge } from "../knowledge/mod.js";
-import { waitedMs } from "../latency/mod.js";
+import { eventLoopIdleMs } from "../latency/mod.js";
 import type { LeafAccess } from "../leaf_access/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
-import { homesOfHost } from "../routing/mod.js";
+import { allowedRegionsOfHost } from "../routing/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
-import type { BoxLife } from "./box_life.js";
+import {
+  createAuxiliaryServers,
+  type MetricsEndpoint,
+  type ServerAtPort,
+} from "./auxiliary_servers.js";
+import type { BoxLifecycle } from "./box_lifecycle.js";
 import type { BoxReport } from "./box_report.js";
-import { type MetricsPlace, type ServerAtPort, sideServers } from "./side_servers.js";
 
 /** Time that callers may keep an answer of the directory, in milliseconds; at most the setting. */
 const KEEP_MS = 5_000;
 
 /** What the servers are tied to. */
-export interface MakeSideServersOptions {
+export interface MakeAuxiliaryServersOptions {
   /** Settings in force; ports are those of the start. */
   readonly settings: () => BoxSettings;
-  readonly life: Pick<BoxLife, "phase">;
-  readonly view: Pick<FleetView, "advise">;
-  readonly knowledge: Pick<BoxKnowledge, "leafs" | "routes" | "share">;
-  readonly quarantine: Pick<Quarantine, "lift">;
+  readonly lifecycle: Pick<BoxLifecycle, "phase">;
+  readonly view: Pick<FleetView, "resolveAddresses">;
+  readonly clusterState: Pick<ClusterState, "leafs" | "routes" | "sharedStateSince">;
+  readonly quarantine: Pick<Quarantine, "clear">;
   readonly calls: LeafCalls;
   readonly places: Pick<RelayPlaces, "distance">;
   readonly access: LeafAccess;
   readonly report: () => BoxReport;
-  readonly metrics: MetricsPlace | undefined;
+  readonly metrics: MetricsEndpoint | undefined;
   readonly telemetry: Pick<BoxTelemetry, "metricsText" | "relayedParts">;
 }
 
@@ -42,23 +46,36 @@
  * @param options - What they are tied to.
  * @returns Each with its port.
  */
-export function makeSideServers(options: MakeSideServersOptions): ReadonlyArray<ServerAtPort> {
-  const { access, calls, knowledge, life, metrics, places, quarantine } = options;
+export function makeAuxiliaryServers(
+  options: MakeAuxiliaryServersOptions,
+): ReadonlyArray<ServerAtPort> {
+  const {
+    access,
+    calls,
+    clusterState: knowledge,
+    lifecycle: life,
+    metrics,
+    places,
+    quarantine,
+  } = options;
   const { report, settings, telemetry, view } = options;
-  return sideServers({
+  return createAuxiliaryServers({
     settings: settings(),
     isReady: () => life.phase === "ready",
-    advise: ({ host, region }) => {
+    resolveAddresses: ({ host, region }) => {
       const { routes } = knowledge;
-      return view.advise(region, routes === undefined ? [] : homesOfHost(routes, host));
+      return view.resolveAddresses(
+        region,
+        routes === undefined ? [] : allowedRegionsOfHost(routes, host),
+      );
     },
-    keepMs: () => Math.min(KEEP_MS, settings().mostKeepMs),
+    ttlMs: () => Math.min(KEEP_MS, settings().mostKeepMs),
     report,
-    lift: (fingerprint) => quarantine.lift(fingerprint),
-    share: (progress) => knowledge.share(progress),
+    clearQuery: (fingerprint) => quarantine.clear(fingerprint),
+    stateSince: (progress) => knowledge.sharedStateSince(progress),
     relay: {
       nowMs,
-      waitedMs,
+      eventLoopIdleMs: eventLoopIdleMs,
       calls,
       leafs: () => knowledge.leafs,
       distance: (leaf) => places.distance(leaf),
--- a/box/_make_fleet_link.ts
+++ b/box/_make_fleet_link.ts
@@ -5,8 +5,8 @@
  * @module
  */
 
+import { type ClusterState, PeerCatchUp } from "../cluster_state/mod.js";
 import { FleetLink, type FleetView, selfMember } from "../fleet/mod.js";
-import { type BoxKnowledge, PeerCatchUp } from "../knowledge/mod.js";
 import type { Member } from "../model/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
@@ -23,10 +23,10 @@
   /** Settings in force; names and addresses are those of the start. */
   readonly settings: () => BoxSettings;
   readonly nowMs: () => number;
-  readonly knowledge: BoxKnowledge;
+  readonly clusterState: ClusterState;
   readonly view: FleetView;
-  readonly isNear: (member: Member) => boolean;
-  readonly quarantine: Pick<Quarantine, "hear" | "tell">;
+  readonly isLocal: (member: Member) => boolean;
+  readonly quarantine: Pick<Quarantine, "applyReports" | "selectReports">;
   /** Told when a box has changed. */
   readonly onMember: () => void;
   readonly telemetry: BoxTelemetry;
@@ -39,13 +39,22 @@
  * @returns The link, not yet open.
  */
 export function makeFleetLink(options: MakeFleetLinkOptions): FleetLink {
-  const { isNear, knowledge, nowMs, onMember, quarantine, settings, telemetry, view } = options;
+  const {
+    isLocal: isNear,
+    clusterState: knowledge,
+    nowMs,
+    onMember,
+    quarantine,
+    settings,
+    telemetry,
+    view,
+  } = options;
   const { box, datagramPort } = settings();
   const catchUp = new PeerCatchUp({
     box,
-    knowledge,
-    isNear,
-    onFarNews: () => fleet.tell(view.others()),
+    clusterState: knowledge,
+    isLocal: isNear,
+    onRemoteUpdate: () => fleet.sendUpdate(view.regionPeers()),
     telemetry,
   });
   const fleet: FleetLink = new FleetLink({
@@ -53,27 +62,27 @@
     seeds: () => seedAddresses(settings()),
     port: datagramPort,
     nowMs,
-    isNear,
+    isLocal: isNear,
     progress: () => knowledge.progress,
-    onProgress: (member, progress) => catchUp.compare(member, progress),
-    crashes: () => quarantine.tell(MOST_TOLD_QUERIES),
+    onProgress: (member, progress) => catchUp.catchUp(member, progress),
+    crashes: () => quarantine.selectReports(MOST_TOLD_QUERIES),
     onCrashes: (told, sender) => {
       // The sender has told one box of this region.
-      if (quarantine.hear(told) && sender !== undefined && !isNear(sender)) {
-        fleet.tell(view.others());
+      if (quarantine.applyReports(told) && sender !== undefined && !isNear(sender)) {
+        fleet.sendUpdate(view.regionPeers());
       }
     },
-    evacuations: () => knowledge.evacuationNews,
+    evacuations: () => knowledge.evacuationUpdate,
     onEvacuations: (news, sender) => {
-      if (knowledge.hearEvacuations(news) && sender !== undefined && !isNear(sender)) {
-        fleet.tell(view.others());
+      if (knowledge.mergeEvacuations(news) && sender !== undefined && !isNear(sender)) {
+        fleet.sendUpdate(view.regionPeers());
       }
     },
-    onMember: ({ box: member, state, incarnation }) => {
+    onMemberChange: ({ box: member, state, incarnation }) => {
       onMember();
       telemetry.event("info", "fleet: box changed", { member, state, incarnation });
     },
-    onFault: (message) => telemetry.event("warn", "fleet: fault", { reason: message }),
+    onError: (message) => telemetry.event("warn", "fleet: fault", { reason: message }),
   });
   return fleet;
 }
--- a/box/_make_leaf_access.ts
+++ b/box/_make_leaf_access.ts
@@ -3,8 +3,9 @@
  *
  * @module
  */
+
+import type { ClusterState } from "../cluster_state/mod.js";
 import type { FleetView } from "../fleet/mod.js";
-import type { BoxKnowledge } from "../knowledge/mod.js";
 import { ColdLeafs, LeafAccess } from "../leaf_access/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
@@ -13,15 +14,15 @@
 export interface MakeLeafAccessOptions {
   readonly settings: BoxSettings;
   readonly nowMs: () => number;
-  readonly knowledge: () => Pick<BoxKnowledge, "evacuated" | "routes">;
-  readonly view: Pick<FleetView, "callersOfCold">;
-  readonly quarantine: Pick<Quarantine, "calling">;
+  readonly clusterState: () => Pick<ClusterState, "evacuated" | "routes">;
+  readonly view: Pick<FleetView, "coldLeafCallers">;
+  readonly quarantine: Pick<Quarantine, "permission">;
 }
 
 /** The decision, and the cold leafs that it rests on. */
-export interface MadeLeafAccess {
+export interface LeafAccessSetup {
   readonly access: LeafAccess;
-  readonly cold: ColdLeafs;
+  readonly coldLeafs: ColdLeafs;
 }
 
 /**
@@ -30,21 +31,21 @@
  * @param options - What it is tied to.
  * @returns The decision, and the cold leafs.
  */
-export function makeLeafAccess(options: MakeLeafAccessOptions): MadeLeafAccess {
-  const { knowledge, nowMs, quarantine, settings, view } = options;
+export function makeLeafAccess(options: MakeLeafAccessOptions): LeafAccessSetup {
+  const { clusterState: knowledge, nowMs, quarantine, settings, view } = options;
   const cold = new ColdLeafs({
     nowMs,
     box: settings.box,
-    termsOf: (service) => knowledge().routes?.termsByService.get(service),
+    warmupTermsOf: (service) => knowledge().routes?.termsByService.get(service),
     tolerance: { factor: settings.coldOverage, slackCalls: settings.coldSlackCalls },
-    callersOf: (dataCentre) => view.callersOfCold(dataCentre),
+    callingBoxesOf: (dataCentre) => view.coldLeafCallers(dataCentre),
   });
   const access = new LeafAccess({
     routes: () => knowledge().routes,
     regionOf: (dataCentre) => settings.regions.get(dataCentre) ?? dataCentre,
     evacuated: () => knowledge().evacuated,
-    cold,
+    coldLeafs: cold,
     quarantine,
   });
-  return { access, cold };
+  return { access, coldLeafs: cold };
 }
--- a/box/_make_quarantine.ts
+++ b/box/_make_quarantine.ts
@@ -6,7 +6,7 @@
 import type { LeafCalls } from "../calls/mod.js";
 import { rendezvousRank } from "../hashing/mod.js";
 import type { Member } from "../model/mod.js";
-import { type CrashRecord, Quarantine, type Standing } from "../quarantine/mod.js";
+import { type CrashRecord, type CrashStatus, Quarantine } from "../quarantine/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
 /** What the quarantine is tied to. */
@@ -14,16 +14,16 @@
   readonly box: string;
   readonly nowMs: () => number;
   /** Boxes that callers' requests come in at: one that stands by would never try a query, nor clear it. */
-  readonly serving: () => ReadonlyArray<Member>;
-  readonly calls: () => Pick<LeafCalls, "holdWaiting">;
+  readonly servingBoxes: () => ReadonlyArray<Member>;
+  readonly calls: () => Pick<LeafCalls, "withdrawBlocked">;
   /** Tells other boxes at once. */
-  readonly tell: () => void;
+  readonly notifyBoxes: () => void;
   /** Keeps a query that is quarantined beyond the life of all boxes. */
-  readonly keep: (record: CrashRecord, before: CrashRecord | undefined) => void;
+  readonly persist: (record: CrashRecord, before: CrashRecord | undefined) => void;
   readonly telemetry: Pick<BoxTelemetry, "event" | "quarantineChanges">;
 }
 
-const SENTENCES: Readonly<Record<Standing, string>> = {
+const SENTENCES: Readonly<Record<CrashStatus, string>> = {
   suspected: "quarantine: query suspected, leafs were lost under it",
   quarantined: "quarantine: query is not sent any more",
   cleared: "quarantine: query cleared",
@@ -36,15 +36,15 @@
  * @returns The quarantine.
  */
 export function makeQuarantine(options: MakeQuarantineOptions): Quarantine {
-  const { box, calls, keep, nowMs, serving, telemetry } = options;
-  const tell = gathered(options.tell);
+  const { box, calls, persist: keep, nowMs, servingBoxes: serving, telemetry } = options;
+  const tell = gathered(options.notifyBoxes);
   return new Quarantine({
     nowMs,
     isTrialBox: (fingerprint) => {
       const ids = serving().map(({ memberId }) => memberId);
       return rendezvousRank(fingerprint, ids)[0] === box;
     },
-    onChange: ({ record, before, source, isNews }) => {
+    onChange: ({ record, before, source, publishNow: isNews }) => {
       const { fingerprint, lostLeafs, lostTrials, standing } = record;
       if (standing !== before?.standing) {
         const fields = { fingerprint, lostLeafs, lostTrials, source, before: before?.standing };
@@ -53,7 +53,7 @@
           suspectedAgoMs: Math.round(nowMs() - record.suspectedAtMs),
         });
         telemetry.quarantineChanges.add(standing);
-        calls().holdWaiting(fingerprint);
+        calls().withdrawBlocked(fingerprint);
       }
       if (isNews && source === "own") {
         tell();
--- a/box/_make_intake.ts
+++ b/box/_make_request_handler.ts
@@ -3,11 +3,11 @@
  *
  * @module
  */
-import { RequestIntake, type RequestIntakeOptions } from "./request_intake.js";
+import { RequestHandler, type RequestHandlerOptions } from "./request_handler.js";
 import { type CompiledPolicies, RoutePolicies } from "./route_policies.js";
 
 /** What the intake is made from. */
-export interface MakeIntakeOptions extends Omit<RequestIntakeOptions, "policies"> {
+export interface MakeRequestHandlerOptions extends Omit<RequestHandlerOptions, "policies"> {
   /** Operators' policy programs; nothing where the routes' own terms decide alone. */
   readonly programs: CompiledPolicies | undefined;
 }
@@ -18,10 +18,13 @@
  * @param options - What it is made from.
  * @returns The intake.
  */
-export function makeIntake({ programs, ...options }: MakeIntakeOptions): RequestIntake {
+export function makeRequestHandler({
+  programs,
+  ...options
+}: MakeRequestHandlerOptions): RequestHandler {
   const { telemetry } = options;
   const policies = new RoutePolicies(programs, (policy, reason) => {
     telemetry.event("warn", "policy: program failed, its default holds", { policy, reason });
   });
-  return new RequestIntake({ ...options, policies });
+  return new RequestHandler({ ...options, policies });
 }
--- a/box/_make_runner.ts
+++ b/box/_make_runner.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { noteLook, type QueueLooks, standingQueueMs } from "../admission/mod.js";
+import { addQueueSample, persistentQueueMs, type QueueSamples } from "../admission/mod.js";
 import type { ExtraCallBudgets } from "../extra_calls/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 import type { RunnerOptions } from "./_runner_options.js";
@@ -24,18 +24,18 @@
  */
 export function makeRunner({ budgets, telemetry, ...options }: MakeRunnerOptions): RequestRunner {
   const { nowMs } = options;
-  const queueLooks = new Map<string, QueueLooks>();
+  const queueLooks = new Map<string, QueueSamples>();
   return new RequestRunner({
     ...options,
     noteQueue: (index, queueMs) => {
-      const looks = noteLook(queueLooks.get(index) ?? [], { queueMs, atMs: nowMs() });
+      const looks = addQueueSample(queueLooks.get(index) ?? [], { queueMs, atMs: nowMs() });
       queueLooks.set(index, looks);
-      return standingQueueMs(looks);
+      return persistentQueueMs(looks);
     },
-    extraCallsLeft: (service) => budgets.leftFor(service),
+    extraCallsLeft: (service) => budgets.remaining(service),
     creditRequest: (service) => budgets.credit(service),
     takeExtraCall: (service, kind) => {
-      const allowed = budgets.take(service, kind);
+      const allowed = budgets.tryTake(service, kind);
       telemetry.extraCalls.add(allowed ? kind : `${kind} refused`);
       return allowed;
     },
--- a/box/_run_orders.ts
+++ b/box/_relay_requests.ts
@@ -6,10 +6,10 @@
 import type { LeafCalls, OpenCall } from "../calls/mod.js";
 import type { Member } from "../model/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
-import type { RelayCalls, RelayOrder } from "../relay/mod.js";
+import type { RelayCalls, RelayRequest } from "../relay/mod.js";
 import {
   type AttemptOutcome,
-  lostPartOutcome,
+  failedPartOutcome,
   type RelayedParts,
   type RequestEffect,
   type RequestEvent,
@@ -21,23 +21,23 @@
 type AskThroughEffect = Extract<RequestEffect, { readonly kind: "askThrough" }>;
 
 /** What the orders of one request need. */
-export interface RunOrdersOptions {
+export interface RelayRequestsOptions {
   readonly nowMs: () => number;
   readonly calls: LeafCalls;
-  readonly quarantine: Pick<Quarantine, "hearHeld" | "noteAnswered" | "noteLost">;
+  readonly quarantine: Pick<Quarantine, "applyRemoteBlock" | "recordAnswer" | "recordCrash">;
   readonly relays: RelayCalls;
   readonly terms: RequestTerms;
   readonly forwarded: ForwardedRequest;
   /** Finds a box that was chosen for the request. */
   readonly chosenBox: (box: string) => Member | undefined;
-  readonly take: (event: RequestEvent) => void;
-  readonly note: (asked: string, what: string) => void;
+  readonly dispatch: (event: RequestEvent) => void;
+  readonly addNote: (asked: string, what: string) => void;
   /** Told of each attempt that is under way, and when it has ended. */
   readonly onOpen: (attemptId: number, call: OpenCall) => void;
   readonly onEnded: (attemptId: number) => void;
 }
 
-const MISSING = lostPartOutcome("failed");
+const MISSING = failedPartOutcome("failed");
 
 /** What a lost part says of the leaf that was expected to be asked. */
 const LOST_RESULTS = {
@@ -45,17 +45,17 @@
   refused: "full",
   failed: "failed",
   "connection lost": "failed",
-  held: "abandoned",
+  blocked: "abandoned",
 } as const;
 
 /** Orders of one request to other boxes. */
-export class RunOrders {
-  readonly #options: RunOrdersOptions;
+export class RelayRequests {
+  readonly #options: RelayRequestsOptions;
 
   /**
    * @param options - What the orders need.
    */
-  constructor(options: RunOrdersOptions) {
+  constructor(options: RelayRequestsOptions) {
     this.#options = options;
   }
 
@@ -64,13 +64,13 @@
    *
    * @param effect - Which shards, and how long it may wait.
    */
-  relay({ attemptId, box, calls, deadlineAtMs, patienceMs }: RelayEffect): void {
-    const { onEnded, onOpen, take } = this.#options;
+  sendMerged({ attemptId, box, calls, deadlineAtMs, waitLimitMs: patienceMs }: RelayEffect): void {
+    const { onEnded, onOpen, dispatch: take } = this.#options;
     const notes = this.#noteLeafs(calls);
     const services = calls.map(({ service }) => service);
     const request = this.#request(deadlineAtMs);
     const waitMs = Math.ceil(patienceMs);
-    const order: RelayOrder = { kind: "merged", ...request, services, patienceMs: waitMs };
+    const order: RelayRequest = { kind: "merged", ...request, services, waitLimitMs: waitMs };
     const open = this.#send(box, order, {
       onParts: (parts) => {
         this.#noteParts(box, parts, notes);
@@ -92,8 +92,8 @@
    *
    * @param effect - Which leafs, and which records are still wanted.
    */
-  askThrough({ box, calls, leastRecord, deadlineAtMs }: AskThroughEffect): void {
-    const { onEnded, onOpen, take } = this.#options;
+  sendSeparate({ box, calls, minRecord: leastRecord, deadlineAtMs }: AskThroughEffect): void {
+    const { onEnded, onOpen, dispatch: take } = this.#options;
     const notes = this.#noteLeafs(calls);
     const waiting = new Map(calls.map(({ service, attemptId }) => [service, attemptId]));
     const end = (service: string, outcome: AttemptOutcome): void => {
@@ -105,16 +105,21 @@
       }
     };
     for (const { leafId } of calls) {
-      this.#options.note(leafId, `asked again through ${box}`);
+      this.#options.addNote(leafId, `asked again through ${box}`);
     }
     const named = calls.map(({ service, leafId }) => ({ service, leafId }));
     const request = this.#request(deadlineAtMs);
-    const order: RelayOrder = { kind: "separate", ...request, calls: named, leastRecord };
+    const order: RelayRequest = {
+      kind: "separate",
+      ...request,
+      calls: named,
+      minRecord: leastRecord,
+    };
     const open = this.#send(box, order, {
       onParts: (parts) => {
         this.#noteParts(box, parts, notes);
-        for (const [service, why] of parts.lost) {
-          end(service, lostPartOutcome(why));
+        for (const [service, why] of parts.failed) {
+          end(service, failedPartOutcome(why));
         }
         for (const [service, signature] of parts.signatures) {
           const answer = { statusCode: 200, headers: {}, signature, body: parts.records };
@@ -146,7 +151,7 @@
 
   #send(
     box: string,
-    order: RelayOrder,
+    order: RelayRequest,
     listener: { onParts(parts: RelayedParts): void; onEnd(): void },
   ): OpenCall {
     const member = this.#options.chosenBox(box);
@@ -166,17 +171,17 @@
   }
 
   /** What the parts say of the query, before it is decided what is asked next. */
-  #noteForQuery({ signatures, lost }: RelayedParts): void {
+  #noteForQuery({ signatures, failed: lost }: RelayedParts): void {
     const { quarantine, forwarded } = this.#options;
     const { fingerprint } = forwarded;
     if (signatures.size > 0) {
-      quarantine.noteAnswered(fingerprint);
+      quarantine.recordAnswer(fingerprint);
     }
     for (const why of lost.values()) {
       if (why === "connection lost") {
-        quarantine.noteLost({ fingerprint, isTrial: false });
-      } else if (why === "held") {
-        quarantine.hearHeld(fingerprint);
+        quarantine.recordCrash({ fingerprint, isTrial: false });
+      } else if (why === "blocked") {
+        quarantine.applyRemoteBlock(fingerprint);
       }
     }
   }
@@ -185,13 +190,13 @@
     for (const service of parts.signatures.keys()) {
       notes.get(service)?.("answered");
     }
-    for (const [service, why] of parts.lost) {
+    for (const [service, why] of parts.failed) {
       notes.get(service)?.(LOST_RESULTS[why]);
     }
     this.#noteForQuery(parts);
-    const reasons = [...parts.lost.values()];
+    const reasons = [...parts.failed.values()];
     for (const why of new Set(reasons)) {
-      this.#options.note(box, `${why} ${reasons.filter((each) => each === why).length}`);
+      this.#options.addNote(box, `${why} ${reasons.filter((each) => each === why).length}`);
     }
   }
 }
--- a/box/_run_world.ts
+++ b/box/_run_environment.ts
@@ -3,17 +3,17 @@
  *
  * @module
  */
-import { type Barrier, describeBarrier } from "../leaf_access/mod.js";
-import { type ChoiceView, chooseLeaf, type Leaf, type Placement } from "../leafs/mod.js";
+import { type BlockReason, describeBlockReason } from "../leaf_access/mod.js";
+import { chooseLeaf, type Leaf, type LeafChoiceContext, type Placement } from "../leafs/mod.js";
 import type { ExtraCallKind } from "../limits/mod.js";
 import type { Member } from "../model/mod.js";
-import type { Calling } from "../quarantine/mod.js";
-import type { BoxChoice, LeafChoice, RequestWorld } from "../request/mod.js";
+import type { CallPermission } from "../quarantine/mod.js";
+import type { BoxChoice, LeafChoice, RequestContext } from "../request/mod.js";
 import type { RouteKey } from "../routing/mod.js";
 import type { RunnerOptions } from "./_runner_options.js";
 
 /** The request that decides. */
-export interface RunWorldOptions {
+export interface RunEnvironmentOptions {
   /** The same for all requests that ask for the same thing. */
   readonly fingerprint: string;
   /** Host and path by which its route is found. */
@@ -28,24 +28,24 @@
 const MOST_BARRED = 20;
 
 /** The box as one request sees it. */
-export class RunWorld implements RequestWorld {
+export class RunEnvironment implements RequestContext {
   /** Moment of the event that is being taken. */
   nowMs = 0;
-  waitedMs = 0;
+  eventLoopIdleMs = 0;
   /** Shards that no leaf could be asked for, by service, and what kept their leafs from it. */
-  readonly barred = new Map<string, string>();
+  readonly blockedShards = new Map<string, string>();
   readonly #box: RunnerOptions;
   readonly #placement: Placement;
   readonly #fingerprint: string;
   readonly #objectiveMs: number;
   readonly #chosenBoxes = new Map<string, Member>();
-  readonly #condition: ChoiceView["condition"];
-  readonly #distance: ChoiceView["distance"];
+  readonly #condition: LeafChoiceContext["health"];
+  readonly #distance: LeafChoiceContext["distance"];
   readonly #toldQueueMs: (leaf: Leaf) => number;
   readonly #mayAsk: (leaf: Leaf) => boolean;
   readonly #isCold: (leafId: string) => boolean;
   /** What kept leafs from being asked since the last choice began. */
-  #barriers: ReadonlyArray<Barrier> = [];
+  #barriers: ReadonlyArray<BlockReason> = [];
   /** Waits at the leafs of each place as told when this request first asked. */
   readonly #queuesMs = new Map<string, number>();
 
@@ -53,18 +53,18 @@
    * @param box - What the runner has of its box.
    * @param options - The request.
    */
-  constructor(box: RunnerOptions, options: RunWorldOptions) {
+  constructor(box: RunnerOptions, options: RunEnvironmentOptions) {
     const { fingerprint, objectiveMs, placement, routeKey } = options;
     this.#box = box;
     this.#fingerprint = fingerprint;
     this.#placement = placement;
     this.#objectiveMs = objectiveMs;
-    this.#condition = (leafId) => box.calls.condition(leafId);
+    this.#condition = (leafId) => box.calls.health(leafId);
     this.#distance = (leaf) => box.places.distance(leaf);
     this.#toldQueueMs = (leaf) => this.#queueAt(box.places.placeOf(leaf));
     this.#isCold = (leafId) => box.access.isCold(leafId);
     this.#mayAsk = (leaf) => {
-      const barrier = box.access.barrierTo(leaf, routeKey);
+      const barrier = box.access.blockReasonForLeaf(leaf, routeKey);
       if (barrier !== undefined) {
         this.#barriers = [...this.#barriers, barrier];
       }
@@ -87,23 +87,29 @@
     this.#barriers = [];
     const chosen = chooseLeaf(leafs().byService.get(service) ?? [], {
       nowMs: this.nowMs,
-      waitedMs: this.waitedMs,
-      condition: this.#condition,
+      eventLoopIdleMs: this.eventLoopIdleMs,
+      health: this.#condition,
       distance: this.#distance,
       excluded,
-      mayAsk: this.#mayAsk,
+      isCallable: this.#mayAsk,
       isCold: this.#isCold,
       objectiveMs: this.#objectiveMs,
-      toldQueueMs: this.#toldQueueMs,
+      reportedQueueMs: this.#toldQueueMs,
       placement: this.#placement,
     });
     if (chosen === undefined) {
       this.#noteBarred(service);
       return undefined;
     }
-    const { leaf, lossShare, queueMs, usualMs } = chosen;
+    const { leaf, failureRate: lossShare, queueMs, typicalLatencyMs: usualMs } = chosen;
     const relayPlace = places.placeOf(leaf);
-    return { leafId: leaf.leafId, expectedMs: usualMs, relayPlace, queueMs, lossShare };
+    return {
+      leafId: leaf.leafId,
+      expectedMs: usualMs,
+      relayPlace,
+      queueMs,
+      failureRate: lossShare,
+    };
   }
 
   chooseBox(relayPlace: string): BoxChoice | undefined {
@@ -112,15 +118,15 @@
     if (chosen === undefined) {
       return undefined;
     }
-    const { member, usualMs } = chosen;
+    const { member, typicalLatencyMs: usualMs } = chosen;
     this.#chosenBoxes.set(member.memberId, member);
     return { box: member.memberId, expectedMs: usualMs };
   }
 
   #noteBarred(service: string): void {
-    if (this.#barriers.length > 0 && this.barred.size < MOST_BARRED) {
-      const reasons = new Set(this.#barriers.map(describeBarrier));
-      this.barred.set(service, [...reasons].join("; "));
+    if (this.#barriers.length > 0 && this.blockedShards.size < MOST_BARRED) {
+      const reasons = new Set(this.#barriers.map(describeBlockReason));
+      this.blockedShards.set(service, [...reasons].join("; "));
     }
   }
 
@@ -134,15 +140,15 @@
     return queueMs;
   }
 
-  calling(): Calling {
-    return this.#box.quarantine.calling(this.#fingerprint);
+  calling(): CallPermission {
+    return this.#box.quarantine.permission(this.#fingerprint);
   }
 
   beginTrial(): void {
     this.#box.quarantine.beginTrial(this.#fingerprint);
   }
 
-  heldForMs(): number {
+  blockedForMs(): number {
     return this.#box.quarantine.retryAfterMs(this.#fingerprint);
   }
 
--- a/box/_runner_options.ts
+++ b/box/_runner_options.ts
@@ -31,7 +31,7 @@
 export interface RunnerOptions {
   readonly nowMs: () => number;
   /** Stands still while this box is busy. */
-  readonly waitedMs: () => number;
+  readonly eventLoopIdleMs: () => number;
   readonly calls: LeafCalls;
   readonly leafs: () => LeafTable;
   readonly places: RelayPlaces;
--- a/box/adaptive_timer.ts
+++ b/box/adaptive_timer.ts
@@ -8,9 +8,9 @@
 /** How the timer runs. */
 export interface AdaptiveTimerOptions {
   /** Time between two runs while there is something to look after, in milliseconds. */
-  readonly busyMs: number;
+  readonly busyIntervalMs: number;
   /** Time between two runs else, in milliseconds. */
-  readonly idleMs: number;
+  readonly idleIntervalMs: number;
   /** Tells after each run whether there is still something to look after. */
   readonly isBusy: () => boolean;
   readonly run: () => void;
@@ -31,14 +31,14 @@
 
   /** Begins at the quick pace. */
   start(): void {
-    this.#wait(this.#options.busyMs);
+    this.#wait(this.#options.busyIntervalMs);
   }
 
   /** Says that there is something to look after, so that the next run is not at the slow pace. */
-  hurry(): void {
+  wake(): void {
     if (this.#isSlow) {
       clearTimeout(this.#timer);
-      this.#wait(this.#options.busyMs);
+      this.#wait(this.#options.busyIntervalMs);
     }
   }
 
@@ -49,7 +49,7 @@
   }
 
   #wait(delayMs: number): void {
-    const { busyMs, idleMs, isBusy, run } = this.#options;
+    const { busyIntervalMs: busyMs, idleIntervalMs: idleMs, isBusy, run } = this.#options;
     this.#isSlow = delayMs !== busyMs;
     this.#timer = setTimeout(() => {
       run();
--- a/box/adaptive_timer_test.ts
+++ b/box/adaptive_timer_test.ts
@@ -5,8 +5,8 @@
 function makeTimer({ isBusy }: { readonly isBusy: () => boolean }) {
   let runs = 0;
   const timer = new AdaptiveTimer({
-    busyMs: 20,
-    idleMs: 5_000,
+    busyIntervalMs: 20,
+    idleIntervalMs: 5_000,
     isBusy,
     run: () => {
       runs += 1;
@@ -26,8 +26,8 @@
 t.test("hurry() ends the slow wait, once", async (t) => {
   const { timer, runs } = makeTimer({ isBusy: () => false });
   await pause(100);
-  timer.hurry();
-  timer.hurry();
+  timer.wake();
+  timer.wake();
   await pause(100);
   t.equal(runs(), 2);
   timer.stop();
@@ -36,7 +36,7 @@
 t.test("a busy timer goes on at the quick pace, however often it is hurried", async (t) => {
   const { timer, runs } = makeTimer({ isBusy: () => true });
   for (let round = 0; round < 20; round++) {
-    timer.hurry();
+    timer.wake();
     await pause(10);
   }
   t.ok(runs() >= 4, `${runs()} runs`);
--- a/box/side_servers.ts
+++ b/box/auxiliary_servers.ts
@@ -4,26 +4,26 @@
  * @module
  */
 import { createServer, type RequestListener, type Server, type ServerResponse } from "node:http";
-import type { Progress } from "../fleet/mod.js";
 import {
-  decodeKnowledgeUrl,
-  encodeShared,
-  KNOWLEDGE_PATH,
-  type SharedKnowledge,
-} from "../knowledge/mod.js";
+  CLUSTER_STATE_PATH,
+  decodeClusterStateUrl,
+  encodeSharedState,
+  type SharedState,
+} from "../cluster_state/mod.js";
+import type { SyncProgress } from "../fleet/mod.js";
 import {
   type BoxSettings,
-  decodeResolve,
-  encodeAdvice,
+  decodeResolveRequest,
+  encodeAddressList,
   READY_PATH,
-  type ResolveQuestion,
+  type ResolveRequest,
   type SocketAddress,
 } from "../platform/mod.js";
-import { answerRelay, RELAY_PATH, type RelayServerOptions } from "../relay/mod.js";
-import { type BoxReport, LIFT_PATH, REPORT_PATH } from "./box_report.js";
+import { handleRelayRequest, RELAY_PATH, type RelayServerOptions } from "../relay/mod.js";
+import { type BoxReport, CLEAR_QUERY_PATH, REPORT_PATH } from "./box_report.js";
 
 /** Where metrics are served. */
-export interface MetricsPlace {
+export interface MetricsEndpoint {
   readonly port: number;
   readonly path: string;
 }
@@ -35,23 +35,23 @@
 }
 
 /** What the servers answer from. */
-export interface SideServersOptions {
+export interface AuxiliaryServersOptions {
   readonly settings: Pick<BoxSettings, "readiness" | "directory" | "peers">;
   /** Tells whether this box can be given work. */
   readonly isReady: () => boolean;
   /** Tells which addresses a caller is to use. */
-  readonly advise: (question: ResolveQuestion) => ReadonlyArray<SocketAddress>;
+  readonly resolveAddresses: (question: ResolveRequest) => ReadonlyArray<SocketAddress>;
   /** Tells how long callers may keep that, in milliseconds. */
-  readonly keepMs: () => number;
+  readonly ttlMs: () => number;
   /** Gives what a peer that is behind may take over. */
-  readonly share: (progress: Progress) => SharedKnowledge;
+  readonly stateSince: (progress: SyncProgress) => SharedState;
   /** Gives what this box tells operators of itself. */
   readonly report: () => BoxReport;
   /** Clears a query under which leafs were lost; tells whether there was anything to clear. */
-  readonly lift: (fingerprint: string) => boolean;
+  readonly clearQuery: (fingerprint: string) => boolean;
   /** What orders of other boxes are answered from. */
   readonly relay: RelayServerOptions;
-  readonly metrics: MetricsPlace | undefined;
+  readonly metrics: MetricsEndpoint | undefined;
   readonly metricsText: () => Promise<string>;
 }
 
@@ -61,7 +61,9 @@
  * @param options - What they answer from.
  * @returns Each with its port.
  */
-export function sideServers(options: SideServersOptions): ReadonlyArray<ServerAtPort> {
+export function createAuxiliaryServers(
+  options: AuxiliaryServersOptions,
+): ReadonlyArray<ServerAtPort> {
   const { settings, metrics } = options;
   const answers: ReadonlyArray<{ readonly port: number; readonly answer: RequestListener }> = [
     { port: settings.readiness.port, answer: answerReadiness(options) },
@@ -74,7 +76,7 @@
   return answers.map(({ port, answer }) => ({ port, server: createServer(answer) }));
 }
 
-function answerReadiness({ isReady }: SideServersOptions): RequestListener {
+function answerReadiness({ isReady }: AuxiliaryServersOptions): RequestListener {
   return (request, response) => {
     const isKnown = request.url?.startsWith(READY_PATH) === true;
     const statusCode = isReady() ? 200 : 503;
@@ -82,41 +84,49 @@
   };
 }
 
-function answerDirectory({ advise, keepMs }: SideServersOptions): RequestListener {
+function answerDirectory({
+  resolveAddresses: advise,
+  ttlMs: keepMs,
+}: AuxiliaryServersOptions): RequestListener {
   return (request, response) => {
-    const question = decodeResolve(request.url ?? "/");
+    const question = decodeResolveRequest(request.url ?? "/");
     if (question === undefined) {
       writeText(response, 404, "");
       return;
     }
     response.setHeader("Content-Type", "application/json");
-    writeText(response, 200, encodeAdvice(advise(question), { keepMs: keepMs() }));
+    writeText(response, 200, encodeAddressList(advise(question), { keepMs: keepMs() }));
   };
 }
 
-function answerPeer({ lift, relay, report, share }: SideServersOptions): RequestListener {
+function answerPeer({
+  clearQuery: lift,
+  relay,
+  report,
+  stateSince: share,
+}: AuxiliaryServersOptions): RequestListener {
   return (request, response) => {
     if (request.url === RELAY_PATH) {
-      answerRelay(request, response, relay);
+      handleRelayRequest(request, response, relay);
       return;
     }
     const url = request.url ?? "";
     if (url === REPORT_PATH) {
       response.setHeader("Content-Type", "application/json");
       writeText(response, 200, JSON.stringify(report()));
-    } else if (url.startsWith(LIFT_PATH) && request.method === "POST") {
-      const isLifted = lift(url.slice(LIFT_PATH.length));
+    } else if (url.startsWith(CLEAR_QUERY_PATH) && request.method === "POST") {
+      const isLifted = lift(url.slice(CLEAR_QUERY_PATH.length));
       response.setHeader("Content-Type", "application/json");
       writeText(response, isLifted ? 200 : 404, JSON.stringify({ isLifted }));
-    } else if (url.startsWith(KNOWLEDGE_PATH)) {
-      response.end(encodeShared(share(decodeKnowledgeUrl(url))));
+    } else if (url.startsWith(CLUSTER_STATE_PATH)) {
+      response.end(encodeSharedState(share(decodeClusterStateUrl(url))));
     } else {
       writeText(response, 404, "");
     }
   };
 }
 
-function answerMetrics({ metricsText }: SideServersOptions, path: string): RequestListener {
+function answerMetrics({ metricsText }: AuxiliaryServersOptions, path: string): RequestListener {
   return (request, response) => {
     if (request.url !== path) {
       writeText(response, 404, "");
--- a/box/box_life.ts
+++ b/box/box_lifecycle.ts
@@ -5,11 +5,11 @@
  * @module
  */
 import {
+  INITIAL_LIFECYCLE,
   type Lifecycle,
   type LifecycleEvent,
   lifecyclePhase,
-  moveLifecycle,
-  NEW_LIFECYCLE,
+  transitionLifecycle,
 } from "../lifecycle/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
@@ -23,7 +23,7 @@
 const LOOK_EVERY_MS = 50;
 
 /** What a box does as its life goes on. */
-export interface BoxLifeOptions {
+export interface BoxLifecycleOptions {
   readonly telemetry: Pick<BoxTelemetry, "event">;
   /** Requests that have no answer yet. */
   readonly runningCount: () => number;
@@ -36,15 +36,15 @@
 }
 
 /** The life of one box. */
-export class BoxLife {
-  readonly #options: BoxLifeOptions;
-  #lifecycle: Lifecycle = NEW_LIFECYCLE;
+export class BoxLifecycle {
+  readonly #options: BoxLifecycleOptions;
+  #lifecycle: Lifecycle = INITIAL_LIFECYCLE;
   #stopping = false;
 
   /**
    * @param options - What the box does as its life goes on.
    */
-  constructor(options: BoxLifeOptions) {
+  constructor(options: BoxLifecycleOptions) {
     this.#options = options;
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** Says that all that is needed to serve is known. */
-  configured(): void {
+  markConfigured(): void {
     this.#move("configured");
   }
 
@@ -99,7 +99,7 @@
   }
 
   #move(event: LifecycleEvent["type"]): void {
-    this.#lifecycle = moveLifecycle(this.#lifecycle, event);
+    this.#lifecycle = transitionLifecycle(this.#lifecycle, event);
     this.#options.telemetry.event("info", "box: phase", { phase: this.phase, event });
   }
 }
--- a/box/box_report.ts
+++ b/box/box_report.ts
@@ -5,26 +5,26 @@
  * @module
  */
 
-import type { BoxKnowledge } from "../knowledge/mod.js";
-import type { Leaf, LeafCondition } from "../leafs/mod.js";
+import type { ClusterState } from "../cluster_state/mod.js";
+import type { Leaf, LeafHealth } from "../leafs/mod.js";
 import type { Member, MemberState } from "../model/mod.js";
-import { type CrashRecord, type ReportedCrashes, tellRecord } from "../quarantine/mod.js";
+import { type CrashRecord, type ReportedCrashes, toReportedCrashes } from "../quarantine/mod.js";
 
 /** Path at which a box tells it, on its peers' port. */
 export const REPORT_PATH = "/peer/v1/report";
 
 /** Path by which operators clear a query under which leafs were lost; its fingerprint stands behind it. */
-export const LIFT_PATH = "/peer/v1/lift/";
+export const CLEAR_QUERY_PATH = "/peer/v1/lift/";
 
 /** How a leaf is seen by a box. */
-export type LeafStanding = "ready" | "warming up" | "evacuated" | "draining" | "lapsed" | "gone";
+export type LeafStatus = "ready" | "warming up" | "evacuated" | "draining" | "lapsed" | "gone";
 
 /** One leaf as a box believes in it. */
 export interface LeafReport {
   readonly leafId: string;
   readonly service: string;
   readonly dataCentre: string;
-  readonly standing: LeafStanding;
+  readonly standing: LeafStatus;
   /** Mean time of its answers, in milliseconds; 0 before the first. */
   readonly meanMs: number;
   readonly openCalls: number;
@@ -74,21 +74,21 @@
 }
 
 /** What a report is made from. */
-export interface ReportedBox {
+export interface BoxReportInput {
   readonly box: string;
   readonly phase: string;
   readonly knowledge: Pick<
-    BoxKnowledge,
-    | "adopted"
+    ClusterState,
+    | "activeConfiguration"
     | "evacuated"
     | "isStoreReachable"
-    | "heardAtMs"
+    | "lastUpdateAtMs"
     | "isWatcher"
     | "leafs"
     | "leafsRevision"
   >;
   readonly isCold: (leafId: string) => boolean;
-  readonly condition: (leafId: string) => LeafCondition | undefined;
+  readonly condition: (leafId: string) => LeafHealth | undefined;
   readonly runningCount: number;
   readonly members: ReadonlyArray<Member>;
   readonly extraCallsLeft: ReadonlyMap<string, number>;
@@ -102,10 +102,16 @@
  * @param reported - What the box knows.
  * @returns The report.
  */
-export function reportBox(reported: ReportedBox): BoxReport {
+export function buildBoxReport(reported: BoxReportInput): BoxReport {
   const { box, crashRecords, extraCallsLeft, knowledge, members, nowMs, phase, runningCount } =
     reported;
-  const { adopted, isStoreReachable, heardAtMs, isWatcher, leafsRevision } = knowledge;
+  const {
+    activeConfiguration: adopted,
+    isStoreReachable,
+    lastUpdateAtMs: heardAtMs,
+    isWatcher,
+    leafsRevision,
+  } = knowledge;
   const configuration = adopted && {
     version: adopted.version,
     source: adopted.source,
@@ -119,7 +125,7 @@
     leafs: reportLeafs(reported),
     extraCallsLeft: Object.fromEntries(extraCallsLeft),
     evacuated: [...knowledge.evacuated].toSorted(),
-    queries: crashRecords.map((record) => tellRecord(record, nowMs)),
+    queries: crashRecords.map((record) => toReportedCrashes(record, nowMs)),
   };
 }
 
@@ -127,13 +133,13 @@
   return { box, dataCentre, state, address, peerPort };
 }
 
-function reportLeafs(reported: ReportedBox): ReadonlyArray<LeafReport> {
+function reportLeafs(reported: BoxReportInput): ReadonlyArray<LeafReport> {
   return [...reported.knowledge.leafs.byId.values()]
     .map((leaf) => reportLeaf(leaf, reported))
     .toSorted((a, b) => (`${a.service} ${a.leafId}` < `${b.service} ${b.leafId}` ? -1 : 1));
 }
 
-function reportLeaf(leaf: Leaf, reported: ReportedBox): LeafReport {
+function reportLeaf(leaf: Leaf, reported: BoxReportInput): LeafReport {
   const { condition, nowMs } = reported;
   const { leafId, service, dataCentre } = leaf;
   const seen = condition(leafId);
@@ -144,23 +150,23 @@
     standing: standingOf(leaf, reported, seen),
     meanMs: Math.round(seen?.meanMs ?? 0),
     openCalls: seen?.openCalls.length ?? 0,
-    failuresInRow: seen?.failuresInRow ?? 0,
+    failuresInRow: seen?.consecutiveFailures ?? 0,
     avoidedForMs: Math.max(0, Math.round((seen?.avoidUntilMs ?? 0) - nowMs)),
   };
 }
 
 function standingOf(
   { dataCentre, draining, leafId }: Leaf,
-  { isCold, knowledge }: Pick<ReportedBox, "isCold" | "knowledge">,
-  condition: LeafCondition | undefined,
-): LeafStanding {
-  if (condition?.gone === true) {
+  { isCold, knowledge }: Pick<BoxReportInput, "isCold" | "knowledge">,
+  condition: LeafHealth | undefined,
+): LeafStatus {
+  if (condition?.terminated === true) {
     return "gone";
   }
   if (draining) {
     return "draining";
   }
-  if (knowledge.leafs.dropAtMs.has(leafId)) {
+  if (knowledge.leafs.expiresAtMs.has(leafId)) {
     return "lapsed";
   }
   if (knowledge.evacuated.has(dataCentre)) {
--- a/box/box_shell.ts
+++ b/box/box_shell.ts
@@ -6,10 +6,10 @@
 import type { Server } from "node:http";
 import { LeafCalls } from "../calls/mod.js";
 import { BOX_CLOCK, nowMs } from "../clock/mod.js";
+import { ClusterState, QuarantineArchive, watchWaitMs } from "../cluster_state/mod.js";
 import type { ExtraCallBudgets } from "../extra_calls/mod.js";
 import { type FleetLink, FleetView, RelayPlaces } from "../fleet/mod.js";
-import { BoxKnowledge, QuarantineArchive, watchWaitMs } from "../knowledge/mod.js";
-import { waitedMs } from "../latency/mod.js";
+import { eventLoopIdleMs } from "../latency/mod.js";
 import type { ColdLeafs } from "../leaf_access/mod.js";
 import type { Member } from "../model/mod.js";
 import { type BoxSettings, StoreClient } from "../platform/mod.js";
@@ -17,21 +17,21 @@
 import { RelayCalls } from "../relay/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 import { listen } from "./_listen.js";
+import { makeAuxiliaryServers } from "./_make_auxiliary_servers.js";
 import { makeBudgets } from "./_make_budgets.js";
 import { makeFleetLink } from "./_make_fleet_link.js";
-import { makeIntake } from "./_make_intake.js";
 import { makeLeafAccess } from "./_make_leaf_access.js";
 import { makeQuarantine } from "./_make_quarantine.js";
+import { makeRequestHandler } from "./_make_request_handler.js";
 import { makeRunner } from "./_make_runner.js";
-import { makeSideServers } from "./_make_side_servers.js";
 import { AdaptiveTimer } from "./adaptive_timer.js";
-import { BoxLife } from "./box_life.js";
-import { type BoxReport, reportBox } from "./box_report.js";
-import { callerServer, keepIdleCallers } from "./caller_server.js";
+import type { MetricsEndpoint, ServerAtPort } from "./auxiliary_servers.js";
+import { BoxLifecycle } from "./box_lifecycle.js";
+import { type BoxReport, buildBoxReport } from "./box_report.js";
+import { createCallerServer, setKeepAliveTimeouts } from "./caller_server.js";
 import type { RequestRunner } from "./request_runner.js";
 import type { CompiledPolicies } from "./route_policies.js";
-import type { MetricsPlace, ServerAtPort } from "./side_servers.js";
-import { takeTimeJump } from "./time_jump.js";
+import { handleTimeJump } from "./time_jump.js";
 
 /** Time between two looks at what is overdue while calls are open or boxes change, in milliseconds. */
 const TIDY_EVERY_MS = 200;
@@ -52,7 +52,7 @@
   /** Operators' policy programs; nothing where the routes' own terms decide alone. */
   readonly policies: CompiledPolicies | undefined;
   /** Where metrics are served; nothing for nowhere. */
-  readonly metrics: MetricsPlace | undefined;
+  readonly metrics: MetricsEndpoint | undefined;
   /** Called when a planned stop is complete. */
   readonly onEnd: () => void;
 }
@@ -63,13 +63,13 @@
   readonly #telemetry: BoxTelemetry;
   readonly #onEnd: () => void;
   readonly #store: StoreClient;
-  readonly #knowledge: BoxKnowledge;
+  readonly #knowledge: ClusterState;
   readonly #calls: LeafCalls;
   readonly #cold: ColdLeafs;
   readonly #relays = new RelayCalls({
     nowMs,
-    waitedMs,
-    onBusy: () => this.#tidyTimer.hurry(),
+    eventLoopIdleMs: eventLoopIdleMs,
+    onActive: () => this.#tidyTimer.wake(),
   });
   readonly #quarantine: Quarantine;
   readonly #archive: QuarantineArchive;
@@ -79,10 +79,10 @@
   readonly #callerServer: Server;
   readonly #servers: ReadonlyArray<ServerAtPort>;
   readonly #view: FleetView;
-  readonly #life: BoxLife;
+  readonly #life: BoxLifecycle;
   readonly #tidyTimer = new AdaptiveTimer({
-    busyMs: TIDY_EVERY_MS,
-    idleMs: TIDY_IDLE_EVERY_MS,
+    busyIntervalMs: TIDY_EVERY_MS,
+    idleIntervalMs: TIDY_IDLE_EVERY_MS,
     isBusy: () => this.#isBusy(),
     run: () => this.#tidy(),
   });
@@ -94,7 +94,7 @@
     this.#settings = settings;
     this.#telemetry = telemetry;
     this.#onEnd = onEnd;
-    this.#life = new BoxLife({
+    this.#life = new BoxLifecycle({
       telemetry,
       runningCount: () => this.#runner.runningCount,
       onLeaving: () => this.#leave(),
@@ -106,43 +106,43 @@
       settings: () => this.#settings,
       members: () => this.#fleet.members(),
       alive: () => this.#fleet.alive(),
-      unheardForMs: () => this.#fleet.unheardForMs,
+      sinceLastContactMs: () => this.#fleet.sinceLastContactMs,
     });
-    this.#knowledge = new BoxKnowledge({
+    this.#knowledge = new ClusterState({
       store: this.#store,
       waitMs: watchWaitMs(settings),
       telemetry,
       nowMs,
       onConfiguration: () => this.#configured(),
       onLeafs: () => {
-        this.#calls.setKnown(this.#knowledge.leafs.byId);
-        this.#cold.setKnown(this.#knowledge.leafs.byId);
+        this.#calls.setLeafs(this.#knowledge.leafs.byId);
+        this.#cold.setLeafs(this.#knowledge.leafs.byId);
         this.#learned();
       },
-      onOlderStore: () => void this.#archive.keepAgain(this.#quarantine.records()),
-      hasEvacuations: settings.hasEvacuations,
+      onStoreRestored: () => void this.#archive.rewrite(this.#quarantine.records()),
+      isEvacuationEnabled: settings.hasEvacuations,
       onEvacuations: (usedAgain) => this.#evacuated(usedAgain),
     });
     this.#archive = new QuarantineArchive({
       store: this.#store,
       nowMs,
       nowEpochMs: () => Date.now(),
-      onFound: (told) => this.#quarantine.hear(told),
+      onLoaded: (told) => this.#quarantine.applyReports(told),
       telemetry,
     });
     this.#quarantine = makeQuarantine({
       box: settings.box,
       nowMs,
-      serving: () => this.#view.servingEverywhere(),
+      servingBoxes: () => this.#view.allServingBoxes(),
       calls: () => this.#calls,
-      tell: () => this.#fleet.tell(this.#view.hearers()),
-      keep: (record, before) => void this.#archive.note(record, before),
+      notifyBoxes: () => this.#fleet.sendUpdate(this.#view.updateRecipients()),
+      persist: (record, before) => void this.#archive.recordChange(record, before),
       telemetry,
     });
-    const { access, cold } = makeLeafAccess({
+    const { access, coldLeafs: cold } = makeLeafAccess({
       settings,
       nowMs,
-      knowledge: () => this.#knowledge,
+      clusterState: () => this.#knowledge,
       view: this.#view,
       quarantine: this.#quarantine,
     });
@@ -151,12 +151,12 @@
       quarantine: this.#quarantine,
       access,
       nowMs,
-      waitedMs,
-      connectionsTo: (service) => {
+      eventLoopIdleMs: eventLoopIdleMs,
+      maxConnectionsTo: (service) => {
         const terms = this.#knowledge.routes?.termsByService.get(service);
         return this.#view.connectionShare(terms?.maxConnections || Number.POSITIVE_INFINITY);
       },
-      onBusy: () => this.#tidyTimer.hurry(),
+      onBusy: () => this.#tidyTimer.wake(),
       onEnd: (result) => telemetry.attempts.add(result),
     });
     this.#budgets = makeBudgets({ settings: () => this.#settings, view: this.#view, nowMs });
@@ -167,7 +167,7 @@
     });
     this.#runner = makeRunner({
       nowMs,
-      waitedMs,
+      eventLoopIdleMs: eventLoopIdleMs,
       calls: this.#calls,
       leafs: () => this.#knowledge.leafs,
       places,
@@ -177,44 +177,44 @@
       access,
       telemetry,
     });
-    const isNear = ({ dataCentre }: Member): boolean => places.isNear(dataCentre);
+    const isNear = ({ dataCentre }: Member): boolean => places.isLocal(dataCentre);
     this.#fleet = makeFleetLink({
       settings: () => this.#settings,
       nowMs,
-      knowledge: this.#knowledge,
+      clusterState: this.#knowledge,
       view: this.#view,
-      isNear,
+      isLocal: isNear,
       quarantine: this.#quarantine,
       onMember: () => {
-        this.#view.changed();
-        this.#tidyTimer.hurry();
+        this.#view.invalidate();
+        this.#tidyTimer.wake();
       },
       telemetry,
     });
-    const intake = makeIntake({
+    const intake = makeRequestHandler({
       nowMs,
-      knowledge: this.#knowledge,
+      clusterState: this.#knowledge,
       telemetry,
       runner: this.#runner,
       programs: policies,
       countBoxes: () => this.#view.countBoxes(),
     });
-    this.#callerServer = callerServer({
+    this.#callerServer = createCallerServer({
       nowMs,
       maxBodyBytes: () => {
         const limits = this.#knowledge.routes?.configuration.callerLimits;
         return limits?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
       },
       isLeaving: () => this.#life.phase !== "ready",
-      onRequest: (arrived, answer) => intake.take(arrived, answer),
+      onRequest: (arrived, answer) => intake.handle(arrived, answer),
     });
     this.#servers = [
       { server: this.#callerServer, port: settings.callers.port },
-      ...makeSideServers({
+      ...makeAuxiliaryServers({
         settings: () => this.#settings,
-        life: this.#life,
+        lifecycle: this.#life,
         view: this.#view,
-        knowledge: this.#knowledge,
+        clusterState: this.#knowledge,
         quarantine: this.#quarantine,
         calls: this.#calls,
         places,
@@ -236,12 +236,12 @@
       telemetry: this.#telemetry,
     };
     // Not while a moment is being told.
-    BOX_CLOCK.listen((jump) => queueMicrotask(() => takeTimeJump(jump, told)));
+    BOX_CLOCK.setJumpListener((jump) => queueMicrotask(() => handleTimeJump(jump, told)));
     this.#knowledge.start();
     await Promise.all(this.#servers.map(({ server, port }) => listen(server, { address, port })));
     await this.#fleet.start();
     this.#tidyTimer.start();
-    this.#archive.loadSoon(() => this.#view.watchesStore());
+    this.#archive.scheduleLoad(() => this.#view.watchesStore());
     this.#telemetry.event("info", "box: started", { startMs: Math.round(performance.now()) });
   }
 
@@ -258,7 +258,7 @@
     const budgets = { extraCallShare, extraCallSlack, extraCallWindowMs };
     const changed = { seeds, mostKeepMs, stopGraceMs, ...budgets };
     this.#settings = { ...before, ...changed };
-    this.#view.changed();
+    this.#view.invalidate();
     this.#telemetry.event("info", "box: reloaded", changed);
   }
 
@@ -268,8 +268,8 @@
   }
 
   #leave(): void {
-    this.#fleet.declare("leaving");
-    this.#view.changed();
+    this.#fleet.announceState("leaving");
+    this.#view.invalidate();
   }
 
   #takeNoMore(): void {
@@ -278,15 +278,15 @@
   }
 
   #report(): BoxReport {
-    return reportBox({
+    return buildBoxReport({
       box: this.#settings.box,
       phase: this.#life.phase,
       knowledge: this.#knowledge,
-      condition: (leafId) => this.#calls.condition(leafId),
+      condition: (leafId) => this.#calls.health(leafId),
       isCold: (leafId) => this.#cold.isCold(leafId),
       runningCount: this.#runner.runningCount,
       members: this.#fleet.members(),
-      extraCallsLeft: this.#budgets.left(),
+      extraCallsLeft: this.#budgets.remainingByService(),
       crashRecords: this.#quarantine.records(),
       nowMs: nowMs(),
     });
@@ -305,7 +305,7 @@
   #configured(): void {
     const limits = this.#knowledge.routes?.configuration.callerLimits;
     if (limits !== undefined) {
-      keepIdleCallers(this.#callerServer, limits);
+      setKeepAliveTimeouts(this.#callerServer, limits);
     }
     this.#learned();
   }
@@ -313,12 +313,12 @@
   /** Takes work once all that is needed is known, and tells the boxes that hear from this one. */
   #learned(): void {
     if (this.#knowledge.isComplete && this.#life.phase === "starting") {
-      this.#life.configured();
-      this.#fleet.declare("alive");
-      this.#view.changed();
+      this.#life.markConfigured();
+      this.#fleet.announceState("alive");
+      this.#view.invalidate();
     }
     if (this.#knowledge.isWatcher) {
-      this.#fleet.tell(this.#view.hearers());
+      this.#fleet.sendUpdate(this.#view.updateRecipients());
     }
   }
 
@@ -327,27 +327,27 @@
     const rested = [...this.#knowledge.leafs.byId.values()].filter(({ dataCentre }) => {
       return usedAgain.includes(dataCentre);
     });
-    this.#cold.noteRested(rested);
+    this.#cold.markCold(rested);
     if (this.#knowledge.isWatcher) {
-      this.#fleet.tell(this.#view.hearers());
+      this.#fleet.sendUpdate(this.#view.updateRecipients());
     }
   }
 
   /** Whether something may be overdue before a box that stands by would look. */
   #isBusy(): boolean {
     const isWaiting = this.#calls.openCount + this.#relays.openCount > 0;
-    return isWaiting || !this.#knowledge.isComplete || this.#knowledge.leafs.dropAtMs.size > 0;
+    return isWaiting || !this.#knowledge.isComplete || this.#knowledge.leafs.expiresAtMs.size > 0;
   }
 
   #tidy(): void {
-    BOX_CLOCK.look();
-    this.#calls.dropOverdue();
-    this.#relays.dropOverdue();
-    this.#knowledge.dropOverdue();
+    BOX_CLOCK.checkBootClock();
+    this.#calls.abandonOverdue();
+    this.#relays.abortOverdue();
+    this.#knowledge.dropExpired();
     // One that leaves is told of nothing any more and goes on by itself.
     const isWatcher = this.#life.isStopping || this.#view.watchesStore();
     this.#knowledge.setWatcher(isWatcher);
     const answeredAgoMs = this.#knowledge.storeAnsweredAgoMs;
-    this.#telemetry.noteStore({ calls: this.#store.calls, answeredAgoMs });
+    this.#telemetry.setStoreStats({ calls: this.#store.calls, answeredAgoMs });
   }
 }
--- a/box/caller_server.ts
+++ b/box/caller_server.ts
@@ -6,11 +6,11 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import {
-  type CallerAnswer,
-  type CallerTerms,
-  decodeCallerTerms,
+  type CallerHeaders,
+  decodeCallerHeaders,
+  type EncodedReply,
   encodeReply,
-  passedHeaders,
+  forwardedHeaders,
 } from "../platform/mod.js";
 import { requestFingerprint } from "../quarantine/mod.js";
 import type { Reply } from "../request/mod.js";
@@ -18,17 +18,17 @@
 import type { ForwardedRequest } from "./_runner_options.js";
 
 /** A request as it came in, read whole. */
-export interface ArrivedRequest {
+export interface IncomingRequest {
   readonly arrivedAtMs: number;
   /** Whether it is the first on its connection, so that the caller has waited for that as well. */
   readonly opensConnection: boolean;
   readonly host: string;
-  readonly terms: CallerTerms;
+  readonly terms: CallerHeaders;
   readonly forwarded: ForwardedRequest;
 }
 
 /** What is known of an answer once it has been handed to the caller's connection. */
-export type AnswerCall = (reply: Reply) => void;
+export type ReplyCallback = (reply: Reply) => void;
 
 /** What the server needs of its box. */
 export interface CallerServerOptions {
@@ -38,7 +38,7 @@
   /** Whether answers ask callers to close their connections, as the box is about to stop. */
   readonly isLeaving: () => boolean;
   /** Takes a request; the function returned is called when the caller goes before its answer. */
-  readonly onRequest: (request: ArrivedRequest, answer: AnswerCall) => () => void;
+  readonly onRequest: (request: IncomingRequest, answer: ReplyCallback) => () => void;
 }
 
 /** Time that a resting connection is kept beyond the one promised, in milliseconds. */
@@ -59,7 +59,7 @@
  * @param options - What the server needs of its box.
  * @returns The server.
  */
-export function callerServer(options: CallerServerOptions): Server {
+export function createCallerServer(options: CallerServerOptions): Server {
   const known = new WeakSet<Socket>();
   const server = createServer({ maxHeaderSize: MAX_HEADER_BYTES }, (request, response) => {
     const arrivedAtMs = options.nowMs();
@@ -77,7 +77,7 @@
   return server;
 }
 
-const TOO_LONG: CallerAnswer = {
+const TOO_LONG: EncodedReply = {
   statusCode: 413,
   headers: ["Content-Type", "text/plain"],
   body: Buffer.from("Cannot take the body: it is too long"),
@@ -100,16 +100,16 @@
   const forwarded: ForwardedRequest = {
     method,
     path,
-    headers: passedHeaders(request.rawHeaders),
+    headers: forwardedHeaders(request.rawHeaders),
     body,
     routeKey: { host, path },
     fingerprint: requestFingerprint({ method, caller: host, path, body }),
   };
-  const arrived: ArrivedRequest = {
+  const arrived: IncomingRequest = {
     arrivedAtMs,
     opensConnection,
     host,
-    terms: decodeCallerTerms(request.headers),
+    terms: decodeCallerHeaders(request.headers),
     forwarded,
   };
   let answered = false;
@@ -150,7 +150,7 @@
 
 function writeAnswer(
   response: ServerResponse,
-  { statusCode, headers, body }: CallerAnswer,
+  { statusCode, headers, body }: EncodedReply,
   { isLeaving }: CallerServerOptions,
 ): void {
   if (response.destroyed || response.headersSent) {
@@ -173,7 +173,7 @@
  * @param server - The server.
  * @param limits - What callers were promised.
  */
-export function keepIdleCallers(
+export function setKeepAliveTimeouts(
   server: Server,
   { idleTimeoutMs, headerTimeoutMs }: Pick<CallerLimits, "idleTimeoutMs" | "headerTimeoutMs">,
 ): void {
--- a/box/make_quarantine_test.ts
+++ b/box/make_quarantine_test.ts
@@ -24,18 +24,18 @@
       box,
       nowMs: () => clock.nowMs,
       alive: () => FLEET,
-      serving: () => SERVING,
-      calls: () => ({ holdWaiting: () => undefined }),
-      tell: () => undefined,
-      keep: () => undefined,
+      servingBoxes: () => SERVING,
+      calls: () => ({ withdrawBlocked: () => undefined }),
+      notifyBoxes: () => undefined,
+      persist: () => undefined,
       telemetry: { event: () => undefined, quarantineChanges: { add: () => undefined } },
     };
     const quarantine = makeQuarantine(options as MakeQuarantineOptions);
     for (let lost = 0; lost < 3; lost++) {
-      quarantine.noteLost({ fingerprint, isTrial: false });
+      quarantine.recordCrash({ fingerprint, isTrial: false });
     }
     clock.nowMs += LATER_MS;
-    return quarantine.calling(fingerprint) === "alone";
+    return quarantine.permission(fingerprint) === "exclusive";
   }).map(({ box }) => box);
 }
 
--- a/box/request_intake.ts
+++ b/box/request_handler.ts
@@ -5,12 +5,12 @@
  * @module
  */
 
-import type { BoxKnowledge } from "../knowledge/mod.js";
+import type { ClusterState } from "../cluster_state/mod.js";
 import type { Reply } from "../request/mod.js";
-import { findRoute, type Route, type SplitCredits, splitService } from "../routing/mod.js";
+import { findRoute, type Route, type ServiceCredits, selectService } from "../routing/mod.js";
 import type { BoxTelemetry, LogFields } from "../telemetry/mod.js";
-import type { AnswerCall, ArrivedRequest } from "./caller_server.js";
-import type { RequestAccount, RequestRunner } from "./request_runner.js";
+import type { IncomingRequest, ReplyCallback } from "./caller_server.js";
+import type { RequestRunner, RequestSummary } from "./request_runner.js";
 import { requestTerms } from "./request_terms.js";
 import type { Admission, RoutePolicies } from "./route_policies.js";
 
@@ -18,9 +18,9 @@
 const STARTING_RETRY_MS = 300;
 
 /** What taking requests works on. */
-export interface RequestIntakeOptions {
+export interface RequestHandlerOptions {
   readonly nowMs: () => number;
-  readonly knowledge: BoxKnowledge;
+  readonly clusterState: ClusterState;
   readonly telemetry: BoxTelemetry;
   readonly runner: RequestRunner;
   readonly policies: RoutePolicies;
@@ -29,14 +29,14 @@
 }
 
 /** Takes requests. */
-export class RequestIntake {
-  readonly #options: RequestIntakeOptions;
-  readonly #splits = new Map<string, SplitCredits>();
+export class RequestHandler {
+  readonly #options: RequestHandlerOptions;
+  readonly #splits = new Map<string, ServiceCredits>();
 
   /**
    * @param options - What taking requests works on.
    */
-  constructor(options: RequestIntakeOptions) {
+  constructor(options: RequestHandlerOptions) {
     this.#options = options;
   }
 
@@ -47,12 +47,12 @@
    * @param answer - Called once with the reply, unless the caller goes.
    * @returns To be called when the caller goes before its answer.
    */
-  take(arrived: ArrivedRequest, answer: AnswerCall): () => void {
-    const routes = this.#options.knowledge.routes;
+  handle(arrived: IncomingRequest, answer: ReplyCallback): () => void {
+    const routes = this.#options.clusterState.routes;
     if (routes === undefined) {
-      this.#options.telemetry.requestLine("request: not run, no configuration yet", {
+      this.#options.telemetry.logRequest("request: not run, no configuration yet", {
         requestId: arrived.terms.requestId,
-        isStoreReachable: this.#options.knowledge.isStoreReachable,
+        isStoreReachable: this.#options.clusterState.isStoreReachable,
       });
       answer({
         kind: "notRun",
@@ -64,7 +64,7 @@
     const { host, forwarded } = arrived;
     const route = findRoute(routes, { host, path: forwarded.path });
     if (route === undefined) {
-      this.#options.telemetry.requestLine("request: no route", {
+      this.#options.telemetry.logRequest("request: no route", {
         requestId: arrived.terms.requestId,
         host,
         path: forwarded.path,
@@ -75,11 +75,11 @@
     }
     const admission = this.#admit(arrived, route);
     const mostQueueMs = routes.queueAllowancesMs.get(route.name) ?? Number.POSITIVE_INFINITY;
-    const terms = requestTerms(arrived, route, { ...admission, mostQueueMs });
+    const terms = requestTerms(arrived, route, { ...admission, maxQueueMs: mostQueueMs });
     if (admission.refusal !== "") {
       const { refusal, retryAfterMs } = admission;
       this.#options.telemetry.requests.inc({ route: route.name, outcome: "refused" });
-      this.#options.telemetry.requestLine("request: refused by policy", {
+      this.#options.telemetry.logRequest("request: refused by policy", {
         requestId: terms.requestId,
         route: route.name,
         version: routes.configuration.version,
@@ -98,18 +98,18 @@
         answer(reply);
         this.#tell(reply, account, routes.configuration.version);
       },
-      onGone: (account) => this.#tellGone(account, routes.configuration.version),
+      onCallerDisconnected: (account) => this.#tellGone(account, routes.configuration.version),
     });
-    return () => run.callerGone();
+    return () => run.cancel();
   }
 
-  #admit({ host, terms }: ArrivedRequest, route: Route): Admission {
+  #admit({ host, terms }: IncomingRequest, route: Route): Admission {
     return this.#options.policies.admit({
       route,
       caller: host,
       waitMs: terms.waitMs ?? route.timeoutMs,
-      running: this.#options.runner.runningCount,
-      boxes: this.#options.countBoxes(),
+      runningRequests: this.#options.runner.runningCount,
+      boxCount: this.#options.countBoxes(),
       nowMs: this.#options.nowMs(),
     });
   }
@@ -118,27 +118,30 @@
     if (target.kind === "gather") {
       return target.shards;
     }
-    const { service, credits } = splitService(target.services, this.#splits.get(name) ?? new Map());
+    const { service, credits } = selectService(
+      target.services,
+      this.#splits.get(name) ?? new Map(),
+    );
     this.#splits.set(name, credits);
     return [service];
   }
 
-  #tellGone(account: RequestAccount, version: number): void {
+  #tellGone(account: RequestSummary, version: number): void {
     const route = account.state.terms.route.name;
     this.#options.telemetry.requests.inc({ route, outcome: "callerGone" });
-    this.#options.telemetry.requestLine(
+    this.#options.telemetry.logRequest(
       "request: caller gone",
       this.#accountFields(account, version),
     );
   }
 
-  #tell(reply: Reply, account: RequestAccount, version: number): void {
+  #tell(reply: Reply, account: RequestSummary, version: number): void {
     const { terms } = account.state;
     const tookMs = Math.round(this.#options.nowMs() - terms.arrivedAtMs);
     const route = terms.route.name;
     this.#options.telemetry.requests.inc({ route, outcome: reply.kind });
     this.#options.telemetry.requestMs.observe({ route }, tookMs);
-    this.#options.telemetry.requestLine("request: answered", {
+    this.#options.telemetry.logRequest("request: answered", {
       outcome: reply.kind,
       ...(reply.kind === "failed" || reply.kind === "notRun" ? { reason: reply.reason } : {}),
       ...(reply.kind === "notRun" ? refusalFields(reply) : {}),
@@ -149,7 +152,7 @@
 
   /** What decided a request, with the age of what the box knew. */
   #accountFields(
-    { barred, fingerprint, lostLeafs, notes, state }: RequestAccount,
+    { blockedShards: barred, fingerprint, lostLeafs, notes, state }: RequestSummary,
     version: number,
   ): LogFields {
     const { terms, shards, partsIn, partsLost, nextAttemptId } = state;
@@ -158,8 +161,8 @@
       requestId: terms.requestId,
       route: terms.route.name,
       version,
-      leafsRevision: this.#options.knowledge.leafsRevision,
-      knownAgoMs: Math.round(now - this.#options.knowledge.heardAtMs),
+      leafsRevision: this.#options.clusterState.leafsRevision,
+      knownAgoMs: Math.round(now - this.#options.clusterState.lastUpdateAtMs),
       tookMs: Math.round(now - terms.arrivedAtMs),
       leftMs: Math.round(terms.deadlineAtMs - now),
       shards: shards.length,
@@ -172,7 +175,7 @@
       notes,
       open: shards.flatMap(({ service, open, part, relayed }) => {
         const isIn = part !== undefined || relayed;
-        return isIn ? [] : open.map(({ asked }) => `${service} at ${asked}`);
+        return isIn ? [] : open.map(({ calledId: asked }) => `${service} at ${asked}`);
       }),
     };
   }
--- a/box/request_runner.ts
+++ b/box/request_runner.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { mostAnswerBytes, type OpenCall } from "../calls/mod.js";
+import { maxAnswerBytes, type OpenCall } from "../calls/mod.js";
 import type { Step } from "../core/mod.js";
 import type { Placement } from "../leafs/mod.js";
 import {
@@ -17,8 +17,8 @@
   type RequestTimer,
   stepRequest,
 } from "../request/mod.js";
-import { RunOrders } from "./_run_orders.js";
-import { RunWorld } from "./_run_world.js";
+import { RelayRequests } from "./_relay_requests.js";
+import { RunEnvironment } from "./_run_environment.js";
 import type { ForwardedRequest, RunnerOptions } from "./_runner_options.js";
 
 /** One request to run. */
@@ -29,9 +29,9 @@
   readonly forwarded: ForwardedRequest;
   readonly placement: Placement;
   /** Told once, unless the caller goes. */
-  readonly onReply: (reply: Reply, account: RequestAccount) => void;
+  readonly onReply: (reply: Reply, account: RequestSummary) => void;
   /** Told once when the caller goes before its answer. */
-  readonly onGone: (account: RequestAccount) => void;
+  readonly onCallerDisconnected: (account: RequestSummary) => void;
 }
 
 /** An attempt that was not plain: a second one, or one without a usable answer. */
@@ -44,14 +44,14 @@
 }
 
 /** A request at its end, for logs. */
-export interface RequestAccount {
+export interface RequestSummary {
   readonly state: RequestState;
   /** Attempts that were not plain, the earliest first. */
   readonly notes: ReadonlyArray<AttemptNote>;
   /** The same for all requests that ask for the same thing. */
   readonly fingerprint: string;
   /** Shards that no leaf could be asked for, by service, and what kept their leafs from it. */
-  readonly barred: ReadonlyMap<string, string>;
+  readonly blockedShards: ReadonlyMap<string, string>;
   /** Leafs whose connection ended under it before an answer. */
   readonly lostLeafs: number;
 }
@@ -64,7 +64,7 @@
   /** Moment at which its final answer is due. */
   readonly deadlineAtMs: number;
   /** Stops all work, since the caller has gone. */
-  callerGone(): void;
+  cancel(): void;
   /** Gives the final answer by what is known now, as at its deadline. */
   answerNow(): void;
 }
@@ -146,8 +146,8 @@
   readonly #onDone: () => void;
   readonly #openCalls = new Map<number, OpenCall>();
   readonly #timers = new Map<RequestTimer, NodeJS.Timeout>();
-  readonly #world: RunWorld;
-  readonly #orders: RunOrders;
+  readonly #world: RunEnvironment;
+  readonly #orders: RelayRequests;
   #notes: ReadonlyArray<AttemptNote> = [];
   #lostLeafs = 0;
   #state: RequestState;
@@ -159,16 +159,16 @@
     this.#state = newRequest(options.terms, options.services);
     const { nowMs, calls, quarantine, relays } = box;
     const { terms, forwarded, placement } = options;
-    this.#world = new RunWorld(box, {
+    this.#world = new RunEnvironment(box, {
       ...forwarded,
       placement,
-      objectiveMs: terms.aimAtMs - terms.arrivedAtMs,
+      objectiveMs: terms.objectiveAtMs - terms.arrivedAtMs,
     });
-    this.#orders = new RunOrders({
+    this.#orders = new RelayRequests({
       ...{ nowMs, calls, quarantine, relays, terms, forwarded },
       chosenBox: (name) => this.#world.chosenBox(name),
-      take: (event) => this.take(event),
-      note: (asked, what) => this.#note(asked, what),
+      dispatch: (event) => this.take(event),
+      addNote: (asked, what) => this.#note(asked, what),
       onOpen: (attemptId, call) => this.#openCalls.set(attemptId, call),
       onEnded: (attemptId) => this.#openCalls.delete(attemptId),
     });
@@ -178,12 +178,12 @@
     return this.#state.terms.deadlineAtMs;
   }
 
-  callerGone(): void {
+  cancel(): void {
     const wasDone = this.#state.done;
     const account = this.#account();
     this.take({ kind: "callerGone" });
     if (!wasDone) {
-      this.#options.onGone(account);
+      this.#options.onCallerDisconnected(account);
     }
   }
 
@@ -194,7 +194,7 @@
   take(event: RequestEvent): void {
     const wasDone = this.#state.done;
     this.#world.nowMs = this.#box.nowMs();
-    this.#world.waitedMs = this.#box.waitedMs();
+    this.#world.eventLoopIdleMs = this.#box.eventLoopIdleMs();
     const next: Step<RequestState, RequestEffect> = stepRequest(this.#state, event, this.#world);
     this.#state = next.state;
     for (const effect of next.effects) {
@@ -212,8 +212,8 @@
       }
       this.#call(effect);
     },
-    relay: (effect) => this.#orders.relay(effect),
-    askThrough: (effect) => this.#orders.askThrough(effect),
+    relay: (effect) => this.#orders.sendMerged(effect),
+    askThrough: (effect) => this.#orders.sendSeparate(effect),
     abandon: ({ attemptId }) => this.#openCalls.get(attemptId)?.abandon(),
     withdraw: ({ attemptId }) => this.#openCalls.get(attemptId)?.withdraw(),
     wake: ({ timer, atMs }) => {
@@ -227,11 +227,11 @@
     reply: ({ reply }) => this.#options.onReply(reply, this.#account()),
   };
 
-  #account(): RequestAccount {
+  #account(): RequestSummary {
     const { fingerprint } = this.#options.forwarded;
-    const { barred } = this.#world;
+    const { blockedShards: barred } = this.#world;
     const counted = { fingerprint, lostLeafs: this.#lostLeafs };
-    return { state: this.#state, notes: this.#notes, barred, ...counted };
+    return { state: this.#state, notes: this.#notes, blockedShards: barred, ...counted };
   }
 
   #note(asked: string, what: string): void {
@@ -253,8 +253,8 @@
     }
     const { requestId, route } = this.#options.terms;
     const { repeatable } = route;
-    const mostBytes = mostAnswerBytes(this.#options.services.length);
-    const terms = { repeatable, deadlineAtMs, isTrial, mostBytes };
+    const maxBytes = maxAnswerBytes(this.#options.services.length);
+    const terms = { repeatable, deadlineAtMs, isTrial, maxBytes: maxBytes };
     const call = { leaf, requestId, ...this.#options.forwarded, ...terms };
     const open = this.#box.calls.send(call, (outcome) => {
       this.#openCalls.delete(attemptId);
@@ -265,7 +265,7 @@
   }
 
   #noteEnd(asked: string, outcome: AttemptOutcome): void {
-    if (outcome.kind === "failed" && outcome.connectionLost === true) {
+    if (outcome.kind === "failed" && outcome.connectionClosed === true) {
       this.#lostLeafs += 1;
     }
     if (outcome.kind !== "answered") {
@@ -280,7 +280,7 @@
       clearTimeout(timer);
     }
     if (this.#state.partsIn === 0) {
-      this.#box.quarantine.noteFailed(this.#options.forwarded.fingerprint);
+      this.#box.quarantine.recordFailedRequest(this.#options.forwarded.fingerprint);
     }
     this.#onDone();
   }
--- a/box/request_terms.ts
+++ b/box/request_terms.ts
@@ -5,7 +5,7 @@
  */
 import type { RequestTerms } from "../request/mod.js";
 import type { Route } from "../routing/mod.js";
-import type { ArrivedRequest } from "./caller_server.js";
+import type { IncomingRequest } from "./caller_server.js";
 import type { Admission } from "./route_policies.js";
 
 /** Part of a request's time kept back for its way through this box and to the caller, in milliseconds. */
@@ -21,7 +21,7 @@
 /** What policy and the configuration have decided of a request. */
 export interface DecidedTerms extends Pick<Admission, "maxAttempts" | "finishShare"> {
   /** Longest time that its calls may be expected to wait at leafs, in milliseconds. */
-  readonly mostQueueMs: number;
+  readonly maxQueueMs: number;
 }
 
 /**
@@ -33,9 +33,9 @@
  * @returns The terms; the final answer is due before the earlier of caller's deadline and timeout.
  */
 export function requestTerms(
-  { arrivedAtMs, opensConnection, terms }: ArrivedRequest,
+  { arrivedAtMs, opensConnection, terms }: IncomingRequest,
   route: Route,
-  { maxAttempts, finishShare, mostQueueMs }: DecidedTerms,
+  { maxAttempts, finishShare, maxQueueMs: mostQueueMs }: DecidedTerms,
 ): RequestTerms {
   const marginMs = ANSWER_MARGIN_MS + (opensConnection ? OPENING_MARGIN_MS : 0);
   const waitMs = Math.min(terms.waitMs ?? route.timeoutMs, route.timeoutMs);
@@ -45,9 +45,9 @@
     route,
     arrivedAtMs,
     deadlineAtMs: arrivedAtMs + Math.max(1, waitMs - marginMs),
-    aimAtMs: arrivedAtMs + Math.max(1, aimMs - marginMs),
+    objectiveAtMs: arrivedAtMs + Math.max(1, aimMs - marginMs),
     maxAttempts,
-    mostQueueMs,
+    maxQueueMs: mostQueueMs,
     finishShare,
   };
 }
--- a/box/request_terms_test.ts
+++ b/box/request_terms_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import type { Route } from "../routing/mod.js";
-import type { ArrivedRequest } from "./caller_server.js";
+import type { IncomingRequest } from "./caller_server.js";
 import { requestTerms } from "./request_terms.js";
 
 const ROUTE: Route = {
@@ -16,9 +16,9 @@
   target: { kind: "single", services: [{ service: "s", weight: 1 }] },
 };
 
-const ADMISSION = { maxAttempts: 2, finishShare: 1, mostQueueMs: 100 };
+const ADMISSION = { maxAttempts: 2, finishShare: 1, maxQueueMs: 100 };
 
-function arrived(waitMs: number | undefined, opensConnection = false): ArrivedRequest {
+function arrived(waitMs: number | undefined, opensConnection = false): IncomingRequest {
   return {
     arrivedAtMs: 5_000,
     opensConnection,
@@ -49,7 +49,7 @@
 t.test("requestTerms() answers earlier on a new connection, whose opening took time", async (t) => {
   const kept = requestTerms(arrived(1_000), ROUTE, ADMISSION);
   const opened = requestTerms(arrived(1_000, true), ROUTE, ADMISSION);
-  t.ok(opened.aimAtMs < kept.aimAtMs && kept.aimAtMs < 5_200);
+  t.ok(opened.objectiveAtMs < kept.objectiveAtMs && kept.objectiveAtMs < 5_200);
 });
 
 t.test("requestTerms() leaves a moment even where hardly any time is left", async (t) => {
--- a/box/route_policies.ts
+++ b/box/route_policies.ts
@@ -33,9 +33,9 @@
   readonly caller: string;
   readonly waitMs: number;
   /** Requests on this box that have no answer yet. */
-  readonly running: number;
+  readonly runningRequests: number;
   /** Boxes over which a caller's rate is shared. */
-  readonly boxes: number;
+  readonly boxCount: number;
   readonly nowMs: number;
 }
 
@@ -123,15 +123,15 @@
 
   #limit(
     admission: Admission,
-    { caller, boxes, nowMs }: AdmissionInput,
-    { callerPerSecond }: PolicyDecision,
+    { caller, boxCount: boxes, nowMs }: AdmissionInput,
+    { callerRequestsPerSecond: callerPerSecond }: PolicyDecision,
   ): Admission {
     if (callerPerSecond === 0) {
       return admission;
     }
     const perSecond = callerPerSecond / Math.max(1, boxes);
     const rate = { perSecond, burst: Math.max(1, perSecond) };
-    const held = this.#buckets.get(caller) ?? { tokens: rate.burst, countedAtMs: nowMs };
+    const held = this.#buckets.get(caller) ?? { tokens: rate.burst, updatedAtMs: nowMs };
     const bucket = refill(held, rate, { nowMs });
     if (bucket.tokens < 1) {
       this.#buckets.set(caller, bucket);
@@ -150,7 +150,12 @@
   finishShare: 1,
 } as const;
 
-function policyInputOf({ route, caller, waitMs, running }: AdmissionInput): PolicyInput {
+function policyInputOf({
+  route,
+  caller,
+  waitMs,
+  runningRequests: running,
+}: AdmissionInput): PolicyInput {
   const { name, priorityRank, repeatable, target } = route;
   return {
     request: {
--- a/box/route_policies_test.ts
+++ b/box/route_policies_test.ts
@@ -22,8 +22,8 @@
   route: ROUTE,
   caller: "h",
   waitMs: 1_000,
-  running: 0,
-  boxes: 2,
+  runningRequests: 0,
+  boxCount: 2,
   nowMs: 0,
 };
 
@@ -50,7 +50,7 @@
   });
   const admission = policies.admit(INPUT);
   t.match(admission, { refusal: "", maxAttempts: 2, finishShare: 0.75, placement: "nearest" });
-  t.equal(policies.admit({ ...INPUT, running: 11 }).refusal, "busy");
+  t.equal(policies.admit({ ...INPUT, runningRequests: 11 }).refusal, "busy");
 });
 
 t.test("a route's own programs go before those of all routes", async (t) => {
--- a/box/time_jump.ts
+++ b/box/time_jump.ts
@@ -10,8 +10,8 @@
 
 /** What is told of a jump. */
 export interface TimeJumpOptions {
-  readonly fleet: Pick<FleetLink, "askAtOnce">;
-  readonly view: Pick<FleetView, "hearers">;
+  readonly fleet: Pick<FleetLink, "requestUpdates">;
+  readonly view: Pick<FleetView, "updateRecipients">;
   readonly runner: Pick<RequestRunner, "answerOverdue">;
   readonly telemetry: Pick<BoxTelemetry, "event">;
 }
@@ -23,7 +23,7 @@
  * @param jump - The jump.
  * @param options - What is told of it.
  */
-export function takeTimeJump(
+export function handleTimeJump(
   { jumpMs, suspendedMs }: ClockJump,
   { fleet, runner, telemetry, view }: TimeJumpOptions,
 ): void {
@@ -34,7 +34,7 @@
   if (suspendedMs === 0) {
     return;
   }
-  fleet.askAtOnce(view.hearers());
+  fleet.requestUpdates(view.updateRecipients());
   if (suspendedMs !== undefined) {
     runner.answerOverdue();
   }
--- a/box/time_jump_test.ts
+++ b/box/time_jump_test.ts
@@ -1,17 +1,19 @@
 import t from "tap";
 import type { Member } from "../model/mod.js";
-import { takeTimeJump } from "./time_jump.js";
+import { handleTimeJump } from "./time_jump.js";
 
 const HEARERS = [{ memberId: "box-2" }] as unknown as ReadonlyArray<Member>;
 
 /** Tells what a jump leads to. */
 function jump(suspendedMs: number | undefined): ReadonlyArray<string> {
   const done: Array<string> = [];
-  takeTimeJump(
+  handleTimeJump(
     { jumpMs: 3_000.4, suspendedMs },
     {
-      fleet: { askAtOnce: (members) => done.push(`ask ${members.map((each) => each.memberId)}`) },
-      view: { hearers: () => HEARERS },
+      fleet: {
+        requestUpdates: (members) => done.push(`ask ${members.map((each) => each.memberId)}`),
+      },
+      view: { updateRecipients: () => HEARERS },
       runner: { answerOverdue: () => done.push("answer what is overdue") },
       telemetry: { event: (_level, _sentence, fields) => done.push(JSON.stringify(fields)) },
     },
--- a/calls/_answer_reader.ts
+++ b/calls/_answer_reader.ts
@@ -5,16 +5,16 @@
  */
 
 import type { Dispatcher } from "undici";
-import { type Barrier, describeBarrier, type LeafAccess } from "../leaf_access/mod.js";
+import { type BlockReason, describeBlockReason, type LeafAccess } from "../leaf_access/mod.js";
 import {
-  decodeLeafNews,
+  decodeLeafLoadReport,
   decodeLeafResponse,
   encodeLeafHeaders,
-  isAnswerTo,
-  type LeafNews,
+  isResponseTo,
+  type LeafLoadReport,
 } from "../platform/mod.js";
 import type { AnswerHeaders, AttemptOutcome } from "../request/mod.js";
-import type { WaitingCall } from "./_releasing_handler.js";
+import type { PendingCall } from "./_releasing_handler.js";
 import type { LeafCall } from "./leaf_call.js";
 
 /** Why a call ended that this box took back. */
@@ -24,7 +24,7 @@
 const TOO_LONG = "answer is too long";
 
 /** How a call ended, with what the leaf told beside it. */
-export interface EndedCall extends LeafNews {
+export interface EndedCall extends LeafLoadReport {
   readonly outcome: AttemptOutcome;
 }
 
@@ -32,7 +32,7 @@
 export interface AnswerReaderOptions {
   readonly nowMs: () => number;
   /** Asked again when a connection is free, as the call may have waited for it. */
-  readonly access: Pick<LeafAccess, "barrierBefore" | "noteSent">;
+  readonly access: Pick<LeafAccess, "blockReasonForCall" | "noteSent">;
 }
 
 /**
@@ -41,12 +41,17 @@
  * @param barrier - Why it may not.
  * @returns The outcome; nothing was sent.
  */
-export function barredOutcome(barrier: Barrier): AttemptOutcome {
-  return { kind: "failed", sent: false, reason: describeBarrier(barrier), barrier };
+export function blockedOutcome(barrier: BlockReason): AttemptOutcome {
+  return {
+    kind: "failed",
+    sent: false,
+    reason: describeBlockReason(barrier),
+    blockReason: barrier,
+  };
 }
 
 /** Reads one answer whole; anything else ends the call and its connection. */
-export class AnswerReader implements WaitingCall {
+export class AnswerReader implements PendingCall {
   readonly #call: LeafCall;
   readonly #options: AnswerReaderOptions;
   readonly #onEnd: (ended: EndedCall) => void;
@@ -73,16 +78,16 @@
   }
 
   admit(): boolean {
-    const barrier = this.#options.access.barrierBefore(this.#call);
+    const barrier = this.#options.access.blockReasonForCall(this.#call);
     if (barrier !== undefined) {
-      this.#end(barredOutcome(barrier));
+      this.#end(blockedOutcome(barrier));
       return false;
     }
     this.#options.access.noteSent(this.#call.leaf);
     return true;
   }
 
-  options(): Dispatcher.DispatchOptions {
+  dispatchOptions(): Dispatcher.DispatchOptions {
     const { leaf, method, path, headers, body, deadlineAtMs } = this.#call;
     const leftMs = Math.max(1, Math.floor(deadlineAtMs - this.#options.nowMs()));
     return {
@@ -128,7 +133,7 @@
     if (statusCode < 200) {
       return;
     }
-    if (!isAnswerTo(headers, this.#call.requestId)) {
+    if (!isResponseTo(headers, this.#call.requestId)) {
       this.#fail("answer to another request");
       controller.abort(new Error("answer to another request"));
       return;
@@ -139,7 +144,7 @@
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
     this.#sizeBytes += chunk.length;
-    if (this.#sizeBytes > this.#call.mostBytes) {
+    if (this.#sizeBytes > this.#call.maxBytes) {
       this.#chunks.length = 0;
       this.#fail(TOO_LONG);
       controller.abort(new Error(TOO_LONG));
@@ -163,7 +168,12 @@
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
     const connectionLost = this.#sent && this.#statusCode === 0;
-    this.#end({ kind: "failed", sent: this.#sent, reason: error.message, connectionLost });
+    this.#end({
+      kind: "failed",
+      sent: this.#sent,
+      reason: error.message,
+      connectionClosed: connectionLost,
+    });
   }
 
   #fail(reason: string): void {
@@ -173,7 +183,7 @@
   #end(outcome: AttemptOutcome): void {
     if (!this.#ended) {
       this.#ended = true;
-      this.#onEnd({ outcome, ...decodeLeafNews(this.#headers) });
+      this.#onEnd({ outcome, ...decodeLeafLoadReport(this.#headers) });
     }
   }
 }
--- a/calls/_leaf_call_harness.ts
+++ b/calls/_leaf_call_harness.ts
@@ -9,7 +9,7 @@
 import { LEAF_HEADERS } from "../platform/mod.js";
 import { Quarantine } from "../quarantine/mod.js";
 import type { AttemptOutcome } from "../request/mod.js";
-import { type LeafCall, mostAnswerBytes } from "./leaf_call.js";
+import { type LeafCall, maxAnswerBytes } from "./leaf_call.js";
 import { LeafCalls } from "./leaf_calls.js";
 
 export const LOOPBACK = "127.0.0.1";
@@ -41,22 +41,22 @@
 }
 
 /** Access to all leafs, but for queries that are quarantined. */
-export function openAccess(quarantine = makeQuarantine()): LeafAccess {
+export function unrestrictedAccess(quarantine = makeQuarantine()): LeafAccess {
   return new LeafAccess({
     routes: () => undefined,
     regionOf: (dataCentre) => dataCentre,
     evacuated: () => new Set(),
-    cold: { isCold: () => false, mayCall: () => true, noteSent: () => undefined },
+    coldLeafs: { isCold: () => false, mayCall: () => true, noteSent: () => undefined },
     quarantine,
   });
 }
 
-export function makeCalls(connections = 2, quarantine = makeQuarantine()): LeafCalls {
+export function makeLeafCalls(connections = 2, quarantine = makeQuarantine()): LeafCalls {
   return new LeafCalls({
-    access: openAccess(quarantine),
+    access: unrestrictedAccess(quarantine),
     nowMs: () => performance.now(),
-    waitedMs: () => performance.now(),
-    connectionsTo: () => connections,
+    eventLoopIdleMs: () => performance.now(),
+    maxConnectionsTo: () => connections,
     quarantine,
     onEnd: () => undefined,
   });
@@ -68,8 +68,8 @@
  * @param calls - The calls.
  * @param leafs - The leafs.
  */
-export function learn(calls: LeafCalls, leafs: ReadonlyArray<Leaf>): void {
-  calls.setKnown(new Map(leafs.map((leaf) => [leaf.leafId, leaf])));
+export function setLeafs(calls: LeafCalls, leafs: ReadonlyArray<Leaf>): void {
+  calls.setLeafs(new Map(leafs.map((leaf) => [leaf.leafId, leaf])));
 }
 
 /** What of a call matters to a test. */
@@ -93,13 +93,13 @@
     routeKey: { host: "h", path: "/x" },
     fingerprint: requestId,
     isTrial: false,
-    mostBytes: mostAnswerBytes(1),
+    maxBytes: maxAnswerBytes(1),
     repeatable,
     deadlineAtMs: performance.now() + leftMs,
   };
 }
 
-export function call(
+export function sendCall(
   calls: LeafCalls,
   port: number,
   options: CallOptions = {},
--- a/calls/_releasing_handler.ts
+++ b/calls/_releasing_handler.ts
@@ -7,7 +7,7 @@
 import type { LeafConnection } from "./leaf_connection.js";
 
 /** A call that is handed to a connection when one is free. */
-export interface WaitingCall extends Dispatcher.DispatchHandler {
+export interface PendingCall extends Dispatcher.DispatchHandler {
   /** Whether it is of no more use and is to be passed over. */
   readonly isEnded: boolean;
   /** Whether it may be sent again if its connection turns out to be gone. */
@@ -15,31 +15,31 @@
   /** Tells right before it is sent whether it may go to its leaf; one that may not has ended. */
   admit(): boolean;
   /** Makes the request, with the time that is left at this moment. */
-  options(): Dispatcher.DispatchOptions;
+  dispatchOptions(): Dispatcher.DispatchOptions;
   /** Told when no connection could be opened for it: nothing was sent. */
   onNoConnection(): void;
 }
 
 /** What a line is told of a call that is under way. */
-export interface AnsweredLine {
+export interface ConnectionOwner {
   /** Says that an answer has begun to come in. */
-  noteHeard(): void;
+  noteResponse(): void;
   /** Says that a call has ended, so that its connection can carry the next. */
   release(connection: LeafConnection): void;
 }
 
 /** Hands an answer on, and the connection back once the answer has ended. */
 export class ReleasingHandler implements Dispatcher.DispatchHandler {
-  readonly #call: WaitingCall;
+  readonly #call: PendingCall;
   readonly #connection: LeafConnection;
-  readonly #line: AnsweredLine;
+  readonly #line: ConnectionOwner;
 
   /**
    * @param call - Whose answer it is.
    * @param connection - What carries it.
    * @param line - Where the connection goes back.
    */
-  constructor(call: WaitingCall, connection: LeafConnection, line: AnsweredLine) {
+  constructor(call: PendingCall, connection: LeafConnection, line: ConnectionOwner) {
     this.#call = call;
     this.#connection = connection;
     this.#line = line;
@@ -52,10 +52,10 @@
   onResponseStart(
     controller: Dispatcher.DispatchController,
     statusCode: number,
-    headers: Parameters<NonNullable<WaitingCall["onResponseStart"]>>[2],
+    headers: Parameters<NonNullable<PendingCall["onResponseStart"]>>[2],
   ): void {
-    this.#connection.noteHeard();
-    this.#line.noteHeard();
+    this.#connection.noteResponse();
+    this.#line.noteResponse();
     this.#call.onResponseStart?.(controller, statusCode, headers);
   }
 
@@ -65,10 +65,10 @@
 
   onResponseEnd(
     controller: Dispatcher.DispatchController,
-    trailers: Parameters<NonNullable<WaitingCall["onResponseEnd"]>>[1],
+    trailers: Parameters<NonNullable<PendingCall["onResponseEnd"]>>[1],
   ): void {
     this.#release();
-    if (this.#connection.isBroken) {
+    if (this.#connection.wasReset) {
       this.#call.onResponseError?.(controller, new Error("connection was reset"));
     } else {
       this.#call.onResponseEnd?.(controller, trailers);
--- a/calls/leaf_call.ts
+++ b/calls/leaf_call.ts
@@ -23,7 +23,7 @@
   /** Whether it is the only call of a query under which leafs were lost. */
   readonly isTrial: boolean;
   /** Longest answer that is taken, in bytes. */
-  readonly mostBytes: number;
+  readonly maxBytes: number;
   /** Whether it may run more than once. */
   readonly repeatable: boolean;
   /** Moment at which the answer is of no more use, on this box's clock. */
@@ -43,6 +43,6 @@
  * @param shardCount - Shards of the request.
  * @returns The length, in bytes.
  */
-export function mostAnswerBytes(shardCount: number): number {
+export function maxAnswerBytes(shardCount: number): number {
   return Math.floor(MOST_REQUEST_BYTES / Math.max(1, shardCount));
 }
--- a/calls/leaf_calls.ts
+++ b/calls/leaf_calls.ts
@@ -6,18 +6,18 @@
 import type { LeafAccess } from "../leaf_access/mod.js";
 import {
   type CallEnd,
+  INITIAL_LEAF_HEALTH,
   isSameIncarnation,
   type Leaf,
-  type LeafCondition,
-  NEW_CONDITION,
-  noteEnded,
-  noteSent,
+  type LeafHealth,
+  recordCallEnd,
+  recordCallSent,
 } from "../leafs/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
 import type { AttemptOutcome } from "../request/mod.js";
-import { ABANDONED, AnswerReader, barredOutcome } from "./_answer_reader.js";
+import { ABANDONED, AnswerReader, blockedOutcome } from "./_answer_reader.js";
 import type { LeafCall } from "./leaf_call.js";
-import { LeafLine } from "./leaf_line.js";
+import { LeafConnectionPool } from "./leaf_connection_pool.js";
 
 /** A call under way. */
 export interface OpenCall {
@@ -31,13 +31,13 @@
 export interface LeafCallsOptions {
   readonly nowMs: () => number;
   /** Tells the moment by a clock that stands still while this box is busy, in milliseconds. */
-  readonly waitedMs: () => number;
+  readonly eventLoopIdleMs: () => number;
   /** Most connections of this box to a leaf of a service. */
-  readonly connectionsTo: (service: string) => number;
+  readonly maxConnectionsTo: (service: string) => number;
   /** Told how each call ended: a query may end the leafs that run it. */
-  readonly quarantine: Pick<Quarantine, "calling" | "endTrial" | "noteAnswered" | "noteLost">;
+  readonly quarantine: Pick<Quarantine, "permission" | "endTrial" | "recordAnswer" | "recordCrash">;
   /** Asked right before each call whether it may go to its leaf. */
-  readonly access: Pick<LeafAccess, "barrierBefore" | "noteSent">;
+  readonly access: Pick<LeafAccess, "blockReasonForCall" | "noteSent">;
   /** Told when a call is sent and none was open. */
   readonly onBusy?: () => void;
   /** Told how each call ended. */
@@ -60,8 +60,8 @@
  * sent to a former incarnation shows nothing of the next.
  */
 interface LeafIncarnation {
-  condition: LeafCondition;
-  line: LeafLine | undefined;
+  health: LeafHealth;
+  line: LeafConnectionPool | undefined;
 }
 
 /** Connections to all leafs, and what was seen of them. */
@@ -91,8 +91,8 @@
    * @param leafId - The leaf.
    * @returns Its condition, or nothing where it was not asked yet.
    */
-  condition(leafId: string): LeafCondition | undefined {
-    return this.#incarnations.get(leafId)?.condition;
+  health(leafId: string): LeafHealth | undefined {
+    return this.#incarnations.get(leafId)?.health;
   }
 
   /**
@@ -104,16 +104,16 @@
    */
   send(call: LeafCall, onEnd: (outcome: AttemptOutcome) => void): OpenCall {
     const { fingerprint, isTrial } = call;
-    const barrier = this.#options.access.barrierBefore(call);
+    const barrier = this.#options.access.blockReasonForCall(call);
     if (barrier !== undefined) {
-      queueMicrotask(() => onEnd(barredOutcome(barrier)));
+      queueMicrotask(() => onEnd(blockedOutcome(barrier)));
       return { abandon: () => undefined, withdraw: () => undefined };
     }
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const waitedMs = this.#options.waitedMs();
+    const waitedMs = this.#options.eventLoopIdleMs();
     const incarnation = this.#incarnationOf(call.leaf.leafId);
-    incarnation.condition = noteSent(incarnation.condition, { callId, waitedMs });
+    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs });
     const handler = new AnswerReader(call, this.#options, ({ outcome, ...news }) => {
       this.#open.delete(callId);
       const end: CallEnd = {
@@ -123,7 +123,7 @@
         ...news,
         slots: call.leaf.slots,
       };
-      incarnation.condition = noteEnded(incarnation.condition, end);
+      incarnation.health = recordCallEnd(incarnation.health, end);
       this.#options.onEnd(end.result);
       this.#noteForQuery(call, outcome);
       onEnd(outcome);
@@ -149,15 +149,15 @@
   noteRelayed(leafId: string): (result: CallEnd["result"]) => void {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const waitedMs = this.#options.waitedMs();
+    const waitedMs = this.#options.eventLoopIdleMs();
     const incarnation = this.#incarnationOf(leafId);
-    incarnation.condition = noteSent(incarnation.condition, { callId, waitedMs });
+    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs });
     let isNoted = false;
     return (result) => {
       if (!isNoted) {
         isNoted = true;
         const end = { callId, ...this.#now(), result };
-        incarnation.condition = noteEnded(incarnation.condition, end);
+        incarnation.health = recordCallEnd(incarnation.health, end);
       }
     };
   }
@@ -168,8 +168,8 @@
    *
    * @param fingerprint - The query.
    */
-  holdWaiting(fingerprint: string): void {
-    const isHeld = this.#options.quarantine.calling(fingerprint) === "held";
+  withdrawBlocked(fingerprint: string): void {
+    const isHeld = this.#options.quarantine.permission(fingerprint) === "blocked";
     for (const { isTrial, withdraw, ...open } of [...this.#open.values()]) {
       if (open.fingerprint === fingerprint && (isHeld || !isTrial)) {
         withdraw();
@@ -178,7 +178,7 @@
   }
 
   /** Breaks off the calls whose deadline has passed. */
-  dropOverdue(): void {
+  abandonOverdue(): void {
     const nowMs = this.#options.nowMs();
     for (const { deadlineAtMs, abandon } of [...this.#open.values()]) {
       if (nowMs > deadlineAtMs + OVERDUE_MS) {
@@ -193,7 +193,7 @@
    *
    * @param leafs - The leafs, by id.
    */
-  setKnown(leafs: ReadonlyMap<string, Leaf>): void {
+  setLeafs(leafs: ReadonlyMap<string, Leaf>): void {
     const before = this.#known;
     this.#known = leafs;
     for (const [leafId, { line }] of this.#incarnations) {
@@ -215,14 +215,14 @@
       quarantine.endTrial(fingerprint);
     }
     if (outcome.kind === "answered") {
-      quarantine.noteAnswered(fingerprint);
-    } else if (outcome.kind === "failed" && outcome.connectionLost === true) {
-      quarantine.noteLost({ fingerprint, isTrial });
+      quarantine.recordAnswer(fingerprint);
+    } else if (outcome.kind === "failed" && outcome.connectionClosed === true) {
+      quarantine.recordCrash({ fingerprint, isTrial });
     }
   }
 
-  #now(): Pick<CallEnd, "nowMs" | "waitedMs"> {
-    return { nowMs: this.#options.nowMs(), waitedMs: this.#options.waitedMs() };
+  #now(): Pick<CallEnd, "nowMs" | "eventLoopIdleMs"> {
+    return { nowMs: this.#options.nowMs(), eventLoopIdleMs: this.#options.eventLoopIdleMs() };
   }
 
   #incarnationOf(leafId: string): LeafIncarnation {
@@ -230,15 +230,18 @@
     if (held !== undefined) {
       return held;
     }
-    const incarnation: LeafIncarnation = { condition: NEW_CONDITION, line: undefined };
+    const incarnation: LeafIncarnation = { health: INITIAL_LEAF_HEALTH, line: undefined };
     this.#incarnations.set(leafId, incarnation);
     return incarnation;
   }
 
-  #openLine({ service, address, port, slots }: Leaf): LeafLine {
-    const { connectionsTo, nowMs } = this.#options;
+  #openLine({ service, address, port, slots }: Leaf): LeafConnectionPool {
+    const { maxConnectionsTo: connectionsTo, nowMs } = this.#options;
     const mostConnections = (): number => connectionsTo(service);
-    return new LeafLine({ address, port }, { slots, nowMs, mostConnections });
+    return new LeafConnectionPool(
+      { address, port },
+      { slots, nowMs, maxConnections: mostConnections },
+    );
   }
 }
 
@@ -249,7 +252,7 @@
 } = {
   answered: ({ answer }) => (answer.statusCode < 500 ? "answered" : "failed"),
   refused: ({ reason }) => reason,
-  failed: ({ barrier, reason }) => {
+  failed: ({ blockReason: barrier, reason }) => {
     return reason === ABANDONED || barrier !== undefined ? "abandoned" : "failed";
   },
 };
--- a/calls/leaf_calls_test.ts
+++ b/calls/leaf_calls_test.ts
@@ -3,13 +3,13 @@
 import t from "tap";
 import { LEAF_HEADERS } from "../platform/mod.js";
 import {
-  call,
   LOOPBACK,
   leafCall,
-  learn,
-  makeCalls,
+  makeLeafCalls,
   makeQuarantine,
   portOf,
+  sendCall,
+  setLeafs,
 } from "./_leaf_call_harness.js";
 
 t.test("send() gives the leaf's whole answer and keeps the connection", async (t) => {
@@ -25,14 +25,14 @@
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
   t.teardown(() => server.closeAllConnections());
-  const calls = makeCalls();
+  const calls = makeLeafCalls();
   for (const requestId of ["r1", "r2", "r3"]) {
-    const outcome = await call(calls, portOf(server), { requestId });
+    const outcome = await sendCall(calls, portOf(server), { requestId });
     t.match(outcome, { kind: "answered", answer: { statusCode: 200, signature: "stamp" } });
     t.equal(outcome.kind === "answered" && outcome.answer.body.toString(), "i-1");
   }
   t.equal(connections, 1);
-  learn(calls, []);
+  setLeafs(calls, []);
 });
 
 t.test("a call that waits for a connection tells the time left when it is sent", async (t) => {
@@ -45,15 +45,15 @@
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
   t.teardown(() => server.closeAllConnections());
-  const calls = makeCalls(1);
+  const calls = makeLeafCalls(1);
   const port = portOf(server);
   await Promise.all([
-    call(calls, port, { leftMs: 1_000 }),
-    call(calls, port, { requestId: "r2", leftMs: 1_000 }),
+    sendCall(calls, port, { leftMs: 1_000 }),
+    sendCall(calls, port, { requestId: "r2", leftMs: 1_000 }),
   ]);
   t.ok((told[0] ?? 0) > 900, `first told ${told[0]}`);
   t.ok((told[1] ?? 0) <= 800, `second told ${told[1]}`);
-  learn(calls, []);
+  setLeafs(calls, []);
 });
 
 /** A server that answers each request with fixed bytes. */
@@ -80,10 +80,10 @@
 t.test("an answer to another request is never taken", async (t) => {
   const server = await bytesServer(() => answerText("other", "wrong"));
   t.teardown(() => server.close());
-  const calls = makeCalls();
-  const outcome = await call(calls, portOf(server));
+  const calls = makeLeafCalls();
+  const outcome = await sendCall(calls, portOf(server));
   t.match(outcome, { kind: "failed", sent: true, reason: "answer to another request" });
-  learn(calls, []);
+  setLeafs(calls, []);
 });
 
 t.test("a connection with bytes that no call is owed carries no further call", async (t) => {
@@ -94,19 +94,19 @@
     return answers === 1 ? answerText(id, "a") + answerText(id, "b") : answerText(id, "c");
   });
   t.teardown(() => server.close());
-  const calls = makeCalls();
-  const first = await call(calls, portOf(server), { requestId: "r1" });
+  const calls = makeLeafCalls();
+  const first = await sendCall(calls, portOf(server), { requestId: "r1" });
   t.equal(first.kind === "answered" && first.answer.body.toString(), "a");
-  const second = await call(calls, portOf(server), { requestId: "r2" });
+  const second = await sendCall(calls, portOf(server), { requestId: "r2" });
   t.equal(second.kind === "answered" && second.answer.body.toString(), "c");
-  learn(calls, []);
+  setLeafs(calls, []);
 });
 
 t.test("a leaf that takes no connection fails a call as not sent", async (t) => {
   const server = await bytesServer(() => "");
   const port = portOf(server);
   await new Promise<void>((resolve) => server.close(() => resolve()));
-  t.match(await call(makeCalls(), port), { kind: "failed", sent: false });
+  t.match(await sendCall(makeLeafCalls(), port), { kind: "failed", sent: false });
 });
 
 const CONNECTION_ENDS: Readonly<Record<string, (socket: Socket, sent: string) => void>> = {
@@ -125,7 +125,7 @@
     });
     await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
     t.teardown(() => server.close());
-    const outcome = await call(makeCalls(), portOf(server));
+    const outcome = await sendCall(makeLeafCalls(), portOf(server));
     t.equal(outcome.kind, end === "end" ? "answered" : "failed", end);
   }
 });
@@ -144,13 +144,13 @@
     server.closeAllConnections();
     server.close();
   });
-  const calls = makeCalls(1);
-  t.match(await call(calls, portOf(server), { repeatable: false }), { kind: "answered" });
+  const calls = makeLeafCalls(1);
+  t.match(await sendCall(calls, portOf(server), { repeatable: false }), { kind: "answered" });
   await new Promise((resolve) => setTimeout(resolve, 300));
-  t.match(await call(calls, portOf(server), { repeatable: true }), { kind: "answered" });
+  t.match(await sendCall(calls, portOf(server), { repeatable: true }), { kind: "answered" });
   t.equal(connections, 1, "one that may be sent again takes the connection that is there");
   await new Promise((resolve) => setTimeout(resolve, 300));
-  t.match(await call(calls, portOf(server), { repeatable: false }), { kind: "answered" });
+  t.match(await sendCall(calls, portOf(server), { repeatable: false }), { kind: "answered" });
   t.equal(connections, 2, "the other one takes a new connection, within the share");
 });
 
@@ -158,7 +158,7 @@
   "a call of a query under which leafs were lost is not sent, unless it is the only one",
   async (t) => {
     const quarantine = makeQuarantine();
-    const calls = makeCalls(2, quarantine);
+    const calls = makeLeafCalls(2, quarantine);
     const taken: Array<string> = [];
     const server = createServer((request, response) => {
       taken.push(String(request.headers["x-request-id"]));
@@ -171,15 +171,15 @@
       const query = { ...leafCall(portOf(server), { requestId }), fingerprint: "q", isTrial };
       return new Promise((resolve) => calls.send(query, resolve));
     };
-    t.match(await send("first", false), { kind: "failed", sent: true, connectionLost: true });
+    t.match(await send("first", false), { kind: "failed", sent: true, connectionClosed: true });
     t.match(await send("second", false), {
       kind: "failed",
       sent: false,
-      barrier: { kind: "quarantined" },
+      blockReason: { kind: "quarantined" },
     });
-    t.match(await send("trial-1", true), { connectionLost: true });
-    t.match(await send("trial-2", true), { connectionLost: true });
-    t.equal(quarantine.calling("q"), "held");
+    t.match(await send("trial-1", true), { connectionClosed: true });
+    t.match(await send("trial-2", true), { connectionClosed: true });
+    t.equal(quarantine.permission("q"), "blocked");
     t.same(taken, ["first", "trial-1", "trial-2"]);
   },
 );
@@ -188,7 +188,7 @@
   "calls that wait for a connection are taken back when a leaf is lost under their query",
   async (t) => {
     const quarantine = makeQuarantine();
-    const calls = makeCalls(1, quarantine);
+    const calls = makeLeafCalls(1, quarantine);
     const server = createServer(() => undefined);
     await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
     t.teardown(() => {
@@ -202,12 +202,12 @@
     const running = send("running", "q");
     const waiting = send("waiting", "q");
     await new Promise((resolve) => setTimeout(resolve, 50));
-    quarantine.noteLost({ fingerprint: "q", isTrial: false });
-    calls.holdWaiting("q");
+    quarantine.recordCrash({ fingerprint: "q", isTrial: false });
+    calls.withdrawBlocked("q");
     t.match(await waiting, { kind: "failed", sent: false });
     server.closeAllConnections();
     t.match(await running, { sent: true });
-    learn(calls, []);
+    setLeafs(calls, []);
   },
 );
 
@@ -238,8 +238,8 @@
     server.closeAllConnections();
     server.close();
   });
-  const calls = makeCalls();
-  const outcome = await call(calls, portOf(server), { leftMs: 2_000 });
+  const calls = makeLeafCalls();
+  const outcome = await sendCall(calls, portOf(server), { leftMs: 2_000 });
   t.match(outcome, { kind: "failed", sent: true, reason: "answer is too long" });
   t.ok(sentBytes < 64 * piece.length, `the leaf got rid of ${sentBytes} bytes`);
   await new Promise((resolve) => setTimeout(resolve, 100));
--- a/calls/leaf_connection.ts
+++ b/calls/leaf_connection.ts
@@ -76,27 +76,27 @@
    * Whether it was reset. Undici takes an answer without a length to be whole then, but it may have
    * lost its end.
    */
-  get isBroken(): boolean {
+  get wasReset(): boolean {
     return this.#broken;
   }
 
   /** Time since its last call ended, or since it came up, in milliseconds. */
-  get restedMs(): number {
+  get idleMs(): number {
     return nowMs() - this.#restsSinceMs;
   }
 
   /** Moment since which the call on it has no answer; nothing where none is awaited. */
-  get silentSinceMs(): number | undefined {
+  get unansweredSinceMs(): number | undefined {
     return this.#silentSinceMs;
   }
 
   /** Moment at which something last came in on it, its opening included. */
-  get heardAtMs(): number {
+  get lastContactAtMs(): number {
     return this.#heardAtMs;
   }
 
   /** Whether a call can be sent on it now. */
-  get isFree(): boolean {
+  get isIdle(): boolean {
     return this.isOpen && !this.#busy;
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** Says that an answer has begun to come in on it. */
-  noteHeard(): void {
+  noteResponse(): void {
     this.#silentSinceMs = undefined;
     this.#heardAtMs = nowMs();
   }
--- a/calls/leaf_line.ts
+++ b/calls/leaf_connection_pool.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { SocketAddress } from "../platform/mod.js";
-import { ReleasingHandler, type WaitingCall } from "./_releasing_handler.js";
+import { type PendingCall, ReleasingHandler } from "./_releasing_handler.js";
 import { LeafConnection } from "./leaf_connection.js";
 
 /**
@@ -33,20 +33,20 @@
 const MOST_WAIT_MS = 300;
 
 /** What a line needs of its box. */
-export interface LeafLineOptions {
+export interface LeafConnectionPoolOptions {
   /** Requests that the leaf runs at the same time. */
   readonly slots: number;
   readonly nowMs: () => number;
   /** Tells how many connections this box may have to the leaf. */
-  readonly mostConnections: () => number;
+  readonly maxConnections: () => number;
 }
 
 /** Calls and connections of one leaf. */
-export class LeafLine {
+export class LeafConnectionPool {
   readonly #where: SocketAddress;
   readonly #mostConnections: () => number;
   readonly #connections = new Set<LeafConnection>();
-  #waiting: Array<WaitingCall> = [];
+  #waiting: Array<PendingCall> = [];
   readonly #slots: number;
   readonly #nowMs: () => number;
   #opening = 0;
@@ -60,7 +60,10 @@
    * @param where - Address and port of the leaf.
    * @param options - What the line needs of its box.
    */
-  constructor(where: SocketAddress, { slots, mostConnections, nowMs }: LeafLineOptions) {
+  constructor(
+    where: SocketAddress,
+    { slots, maxConnections: mostConnections, nowMs }: LeafConnectionPoolOptions,
+  ) {
     this.#where = where;
     this.#slots = slots;
     this.#mostConnections = mostConnections;
@@ -72,14 +75,14 @@
    *
    * @param call - The call.
    */
-  send(call: WaitingCall): void {
+  send(call: PendingCall): void {
     this.#waiting.push(call);
     this.#serve();
     this.#limitWait();
   }
 
   /** Says that an answer has begun to come in. */
-  noteHeard(): void {
+  noteResponse(): void {
     this.#heardAtMs = this.#nowMs();
   }
 
@@ -126,7 +129,7 @@
     }, MOST_WAIT_MS);
   }
 
-  #giveUp(calls: ReadonlySet<WaitingCall>): void {
+  #giveUp(calls: ReadonlySet<PendingCall>): void {
     const givenUp = this.#waiting.filter((call) => calls.has(call));
     this.#waiting = this.#waiting.filter((call) => !calls.has(call));
     for (const call of givenUp) {
@@ -150,10 +153,10 @@
 
   #serveOn(connection: LeafConnection): void {
     const [call, ...others] = this.#waiting;
-    if (call === undefined || !connection.isFree) {
+    if (call === undefined || !connection.isIdle) {
       return;
     }
-    const isTooOld = !call.isRepeatable && connection.restedMs > MOST_RESTED_MS;
+    const isTooOld = !call.isRepeatable && connection.idleMs > MOST_RESTED_MS;
     if (isTooOld || this.#mayBeSilent(connection)) {
       connection.close();
       return;
@@ -167,9 +170,10 @@
   }
 
   /** Whether another connection has got no answer for long, and this one was not heard since either. */
-  #mayBeSilent({ heardAtMs }: LeafConnection): boolean {
+  #mayBeSilent({ lastContactAtMs: heardAtMs }: LeafConnection): boolean {
     const longAgoMs = this.#nowMs() - SILENT_MS;
-    for (const { silentSinceMs = Number.POSITIVE_INFINITY } of this.#connections) {
+    for (const { unansweredSinceMs: silentSinceMs = Number.POSITIVE_INFINITY } of this
+      .#connections) {
       if (silentSinceMs < longAgoMs && heardAtMs < silentSinceMs) {
         return true;
       }
@@ -177,8 +181,8 @@
     return false;
   }
 
-  #sendOn(connection: LeafConnection, call: WaitingCall): void {
-    connection.send(call.options(), new ReleasingHandler(call, connection, this));
+  #sendOn(connection: LeafConnection, call: PendingCall): void {
+    connection.send(call.dispatchOptions(), new ReleasingHandler(call, connection, this));
   }
 
   /**
@@ -217,7 +221,7 @@
     const connection = new LeafConnection(this.#where, {
       onOpen: () => {
         opened();
-        this.noteHeard();
+        this.noteResponse();
         this.#serve();
       },
       onClose: (closed) => {
@@ -243,7 +247,7 @@
 
   #closeFree(): void {
     for (const connection of this.#connections) {
-      if (connection.isFree) {
+      if (connection.isIdle) {
         connection.close();
       }
     }
--- a/calls/leaf_incarnation_test.ts
+++ b/calls/leaf_incarnation_test.ts
@@ -10,7 +10,14 @@
 import { LEAF_HEADERS } from "../platform/mod.js";
 import type { AttemptOutcome } from "../request/mod.js";
 import { until } from "../standins/waiting.js";
-import { LOOPBACK, leafAt, leafCall, learn, makeCalls, portOf } from "./_leaf_call_harness.js";
+import {
+  LOOPBACK,
+  leafAt,
+  leafCall,
+  makeLeafCalls,
+  portOf,
+  setLeafs,
+} from "./_leaf_call_harness.js";
 import type { LeafCalls } from "./leaf_calls.js";
 
 interface TestLeaf {
@@ -50,10 +57,10 @@
 
 t.test("a leaf that is back at another address is asked there", async (t) => {
   const [before, after] = [await startLeaf(t, 200), await startLeaf(t, 200)];
-  const calls = makeCalls();
-  learn(calls, [incarnation(before.server, 1)]);
+  const calls = makeLeafCalls();
+  setLeafs(calls, [incarnation(before.server, 1)]);
   await ask(calls, incarnation(before.server, 1), "r1");
-  learn(calls, [incarnation(after.server, 2)]);
+  setLeafs(calls, [incarnation(after.server, 2)]);
   const outcome = await ask(calls, incarnation(after.server, 2), "r2");
   t.equal(outcome.kind, "answered");
   t.same([before.asked, after.asked], [["r1"], ["r2"]]);
@@ -61,51 +68,51 @@
 
 t.test("a leaf that said it is gone is judged anew in its next incarnation", async (t) => {
   const leaf = await startLeaf(t, 421);
-  const calls = makeCalls();
-  learn(calls, [incarnation(leaf.server, 1)]);
+  const calls = makeLeafCalls();
+  setLeafs(calls, [incarnation(leaf.server, 1)]);
   await ask(calls, incarnation(leaf.server, 1), "r1");
-  t.equal(calls.condition("i-1")?.gone, true);
-  learn(calls, [incarnation(leaf.server, 2)]);
-  t.equal(calls.condition("i-1"), undefined);
+  t.equal(calls.health("i-1")?.terminated, true);
+  setLeafs(calls, [incarnation(leaf.server, 2)]);
+  t.equal(calls.health("i-1"), undefined);
 });
 
 t.test(
   "a call that was sent to the former incarnation ends as unknown, and shows nothing of the next",
   async (t) => {
     const leaf = await startLeaf(t, undefined);
-    const calls = makeCalls();
-    learn(calls, [incarnation(leaf.server, 1)]);
+    const calls = makeLeafCalls();
+    setLeafs(calls, [incarnation(leaf.server, 1)]);
     const held = ask(calls, incarnation(leaf.server, 1), "r1");
     await until(async () => leaf.asked.length === 1, "the call has reached the leaf");
-    learn(calls, [incarnation(leaf.server, 2)]);
+    setLeafs(calls, [incarnation(leaf.server, 2)]);
     leaf.cut();
     t.match(await held, { kind: "failed", sent: true }, "it may have run");
-    t.equal(calls.condition("i-1"), undefined);
+    t.equal(calls.health("i-1"), undefined);
   },
 );
 
 t.test("a call that waited for the former incarnation is given up unsent", async (t) => {
   const leaf = await startLeaf(t, undefined);
-  const calls = makeCalls(1);
-  learn(calls, [incarnation(leaf.server, 1)]);
+  const calls = makeLeafCalls(1);
+  setLeafs(calls, [incarnation(leaf.server, 1)]);
   void ask(calls, incarnation(leaf.server, 1), "r1");
   await until(async () => leaf.asked.length === 1, "the call has reached the leaf");
   const waiting = ask(calls, incarnation(leaf.server, 1), "r2");
-  learn(calls, [incarnation(leaf.server, 2)]);
+  setLeafs(calls, [incarnation(leaf.server, 2)]);
   t.match(await waiting, { kind: "failed", sent: false });
   t.same(leaf.asked, ["r1"]);
 });
 
 t.test("leafs that only other boxes asked leave nothing behind once they are gone", async (t) => {
-  const calls = makeCalls();
+  const calls = makeLeafCalls();
   const leafs = Array.from({ length: 500 }, (_, index) => ({ ...leafAt(1), leafId: `i-${index}` }));
-  learn(calls, leafs);
+  setLeafs(calls, leafs);
   for (const { leafId } of leafs) {
     calls.noteRelayed(leafId)("answered");
   }
-  learn(calls, []);
+  setLeafs(calls, []);
   t.same(
-    leafs.filter(({ leafId }) => calls.condition(leafId) !== undefined),
+    leafs.filter(({ leafId }) => calls.health(leafId) !== undefined),
     [],
   );
 });
--- a/calls/silent_leaf_test.ts
+++ b/calls/unresponsive_leaf_test.ts
@@ -3,7 +3,7 @@
 import t from "tap";
 import { LEAF_HEADERS } from "../platform/mod.js";
 import { pause, until } from "../standins/waiting.js";
-import { call, LOOPBACK, leafCall, makeCalls, portOf } from "./_leaf_call_harness.js";
+import { LOOPBACK, leafCall, makeLeafCalls, portOf, sendCall } from "./_leaf_call_harness.js";
 
 /** Longer than a connection may be without an answer before others are doubted, in milliseconds. */
 const SILENT_MS = 700;
@@ -23,7 +23,7 @@
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
   t.teardown(() => server.closeAllConnections());
-  const calls = makeCalls(1);
+  const calls = makeLeafCalls(1);
   const ends: Array<string> = [];
   const sent = ["r1", "r2", "r3"].map((requestId) => {
     return calls.send(leafCall(portOf(server), { requestId }), ({ kind }) => {
@@ -65,9 +65,9 @@
     await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
     t.teardown(() => server.close());
     t.teardown(() => server.closeAllConnections());
-    const calls = makeCalls(3);
+    const calls = makeLeafCalls(3);
     const port = portOf(server);
-    await Promise.all([call(calls, port), call(calls, port)]);
+    await Promise.all([sendCall(calls, port), sendCall(calls, port)]);
     t.equal(known.size, 2, "two connections are kept");
     for (const socket of known) {
       silent.add(socket);
@@ -75,7 +75,7 @@
     const hung = calls.send(leafCall(port, { leftMs: 60_000 }), () => undefined);
     await until(async () => unanswered === 1, "a call hangs on a silent connection");
     await pause(SILENT_MS);
-    const outcome = await call(calls, port, { leftMs: 60_000 });
+    const outcome = await sendCall(calls, port, { leftMs: 60_000 });
     t.equal(outcome.kind, "answered", "the next one does not go out on the other");
     hung.abandon();
   },
@@ -86,11 +86,11 @@
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
   t.teardown(() => server.closeAllConnections());
-  const calls = makeCalls(1);
+  const calls = makeLeafCalls(1);
   const port = portOf(server);
   const hung = calls.send(leafCall(port, { leftMs: 60_000 }), () => undefined);
   await pause(SILENT_MS);
-  const outcome = await call(calls, port, { leftMs: 60_000 });
+  const outcome = await sendCall(calls, port, { leftMs: 60_000 });
   t.match(outcome, { kind: "failed", sent: false });
   hung.abandon();
 });
@@ -107,10 +107,10 @@
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
   t.teardown(() => server.closeAllConnections());
-  const calls = makeCalls(1);
+  const calls = makeLeafCalls(1);
   const port = portOf(server);
   const outcomes = await Promise.all(
-    Array.from({ length: 6 }, () => call(calls, port, { leftMs: 60_000 })),
+    Array.from({ length: 6 }, () => sendCall(calls, port, { leftMs: 60_000 })),
   );
   t.same(new Set(outcomes.map(({ kind }) => kind)), new Set(["answered"]));
 });
--- a/catalog/catalog.ts
+++ b/catalog/catalog.ts
@@ -72,7 +72,7 @@
  * @param objects - Objects from the platform, a peer or a submission, already checked.
  * @returns The catalog after that, and the objects that were newer.
  */
-export function adoptObjects(
+export function applyObjects(
   catalog: Catalog,
   objects: ReadonlyArray<CatalogObject>,
 ): { readonly catalog: Catalog; readonly adopted: ReadonlyArray<CatalogObject> } {
--- a/catalog/submit_object.ts
+++ b/catalog/submit_object.ts
@@ -13,7 +13,7 @@
   type HistoryEntry,
   type ObjectKind,
 } from "../model/mod.js";
-import type { PlatformPort, StoredObject } from "../platform/platform_port.js";
+import type { PlatformPort, VersionedObject } from "../platform/platform_port.js";
 import { objectKey } from "./catalog.js";
 
 /** A change that an operator submits. */
@@ -50,7 +50,7 @@
   /** Highest revision of the object that this box knows. */
   readonly knownRevision: number;
   /** Tries before an outcome is given up as unclear. */
-  readonly tries?: number;
+  readonly maxAttempts?: number;
   /** Waits between tries; a promise that resolves at once in tests. */
   readonly pause: (tryNumber: number) => Promise<void>;
 }
@@ -70,7 +70,7 @@
   submission: Submission,
   options: SubmitOptions,
 ): Promise<SubmitOutcome> {
-  const tries = options.tries ?? DEFAULT_TRIES;
+  const tries = options.maxAttempts ?? DEFAULT_TRIES;
   let maySent = false;
   let message = "";
   for (let tryNumber = 1; tryNumber <= tries; tryNumber++) {
@@ -115,7 +115,7 @@
 }
 
 function settledBy(
-  { object }: StoredObject,
+  { object }: VersionedObject,
   { submissionId, baseRevision }: Submission,
   knownRevision: number,
 ): SubmitOutcome | undefined {
--- a/catalog/submit_object_test.ts
+++ b/catalog/submit_object_test.ts
@@ -74,7 +74,7 @@
   const notSent = await submitObject(down.platform, submission("ann", 0), OPTIONS);
   t.equal(notSent.kind, "notRun");
   const lossy = fakePlatform(["lost write", "lost write", "lost write"]);
-  const options = { ...OPTIONS, tries: 3 };
+  const options = { ...OPTIONS, maxAttempts: 3 };
   t.equal((await submitObject(lossy.platform, submission("ann", 0), options)).kind, "unclear");
 });
 
--- a/cli/_entry_http.ts
+++ b/cli/_entry_http.ts
@@ -7,7 +7,7 @@
 import { request } from "undici";
 
 /** An answer of an entry. */
-export interface EntryAnswer {
+export interface EntryResponse {
   readonly statusCode: number;
   readonly body: unknown;
 }
@@ -18,7 +18,7 @@
   readonly path: string;
   readonly body?: unknown;
   /** Time for the whole call, in milliseconds; by default as long as the longest wait of a command. */
-  readonly answerMs?: number;
+  readonly timeoutMs?: number;
 }
 
 /** What stops a command; its message is printed as it is. */
@@ -45,8 +45,8 @@
  * @returns The answer.
  * @throws CommandError where the entry cannot be reached; nothing is known of the outcome then.
  */
-export async function callEntry(entry: string, call: EntryCall): Promise<EntryAnswer> {
-  const { method, path, body, answerMs = ANSWER_MS } = call;
+export async function callEntry(entry: string, call: EntryCall): Promise<EntryResponse> {
+  const { method, path, body, timeoutMs: answerMs = ANSWER_MS } = call;
   try {
     const answer = await request(`${entry}${path}`, {
       method,
@@ -91,7 +91,7 @@
  * @param body - Body of the answer.
  * @returns The sentence with the field at fault.
  */
-export function errorSentence(body: unknown): string {
+export function errorMessage(body: unknown): string {
   const { error, message } = body as {
     readonly error?: { readonly message?: string; readonly field?: string };
     readonly message?: string;
--- a/cli/_fleet_summary.ts
+++ b/cli/_fleet_summary.ts
@@ -7,7 +7,7 @@
 import type { ReportedCrashes } from "../quarantine/mod.js";
 
 /** A box that was asked. */
-export interface AskedBox {
+export interface QueriedBox {
   readonly box: string;
   readonly dataCentre: string;
   /** What it told; nothing where it did not answer. */
@@ -18,7 +18,7 @@
 const OLD_NEWS_MS = 10_000;
 
 /** Extra calls that a budget must allow to go unmentioned. */
-export const LOW_BUDGET = 1;
+export const MIN_EXTRA_CALLS_LEFT = 1;
 
 /** A way in which a box may differ from the rest. */
 type Difference = "not answering" | "not ready" | "behind" | "cut from the store" | "budgets spent";
@@ -32,7 +32,7 @@
     "cut from the store": ({ isStoreReachable, knownAgoMs }) =>
       !isStoreReachable && knownAgoMs > OLD_NEWS_MS,
     "budgets spent": ({ extraCallsLeft }) => {
-      return Object.values(extraCallsLeft).some((calls) => calls < LOW_BUDGET);
+      return Object.values(extraCallsLeft).some((calls) => calls < MIN_EXTRA_CALLS_LEFT);
     },
   };
 
@@ -44,7 +44,7 @@
  * @returns Each way in which it differs.
  */
 export function differencesOf(
-  { report }: AskedBox,
+  { report }: QueriedBox,
   newestVersion: number,
 ): ReadonlyArray<Difference> {
   if (report === undefined) {
@@ -61,7 +61,7 @@
  * @param asked - The boxes.
  * @returns The version; 0 where none has one.
  */
-export function newestVersionOf(asked: ReadonlyArray<AskedBox>): number {
+export function newestVersionOf(asked: ReadonlyArray<QueriedBox>): number {
   return Math.max(0, ...asked.map(({ report }) => report?.configuration?.version ?? 0));
 }
 
@@ -71,7 +71,7 @@
  * @param asked - The boxes.
  * @returns A line for each data centre, in the order of their names.
  */
-export function summariseFleet(asked: ReadonlyArray<AskedBox>): ReadonlyArray<string> {
+export function summariseFleet(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<string> {
   const newest = newestVersionOf(asked);
   const dataCentres = [...new Set(asked.map(({ dataCentre }) => dataCentre))].toSorted();
   return dataCentres.map((dataCentre) => {
@@ -101,7 +101,7 @@
  * @param asked - The boxes.
  * @returns The data centres that any box has as evacuated, in the order of their names.
  */
-export function evacuationsOf(asked: ReadonlyArray<AskedBox>): ReadonlyArray<EvacuationSummary> {
+export function evacuationsOf(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<EvacuationSummary> {
   const reports = asked.flatMap(({ report }) => report ?? []);
   const dataCentres = [...new Set(reports.flatMap(({ evacuated }) => evacuated))].toSorted();
   return dataCentres.map((dataCentre) => {
@@ -116,7 +116,7 @@
  * @param asked - The boxes.
  * @returns The queries, the latest change first.
  */
-export function heldQueriesOf(asked: ReadonlyArray<AskedBox>): ReadonlyArray<ReportedCrashes> {
+export function flaggedQueriesOf(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<ReportedCrashes> {
   const latest = new Map<string, ReportedCrashes>();
   for (const query of asked.flatMap(({ report }) => report?.queries ?? [])) {
     const known = latest.get(query.fingerprint);
--- a/cli/_fleet_summary_test.ts
+++ b/cli/_fleet_summary_test.ts
@@ -1,10 +1,10 @@
 import t from "tap";
 import type { BoxReport } from "../box/box_report.js";
 import {
-  type AskedBox,
   differencesOf,
   evacuationsOf,
-  heldQueriesOf,
+  flaggedQueriesOf,
+  type QueriedBox,
   summariseFleet,
 } from "./_fleet_summary.js";
 
@@ -20,7 +20,7 @@
   };
 }
 
-function asked(box: string, dataCentre: string, fields?: Partial<BoxReport>): AskedBox {
+function asked(box: string, dataCentre: string, fields?: Partial<BoxReport>): QueriedBox {
   return { box, dataCentre, report: reportOf(box, fields) };
 }
 
@@ -77,6 +77,6 @@
       asked("b", "hall-a", { queries: [held, lifted] }),
       { box: "c", dataCentre: "hall-a", report: undefined },
     ];
-    t.same(heldQueriesOf(boxes), [held]);
+    t.same(flaggedQueriesOf(boxes), [held]);
   },
 );
--- a/cli/boxes_command.ts
+++ b/cli/boxes_command.ts
@@ -3,23 +3,28 @@
  *
  * @module
  */
-import { type BoxReport, type LeafReport, LIFT_PATH, REPORT_PATH } from "../box/box_report.js";
+import {
+  type BoxReport,
+  CLEAR_QUERY_PATH,
+  type LeafReport,
+  REPORT_PATH,
+} from "../box/box_report.js";
 import type { ReportedCrashes } from "../quarantine/mod.js";
 import { callEntry } from "./_entry_http.js";
 import {
-  type AskedBox,
   differencesOf,
   evacuationsOf,
-  heldQueriesOf,
-  LOW_BUDGET,
+  flaggedQueriesOf,
+  MIN_EXTRA_CALLS_LEFT,
   newestVersionOf,
+  type QueriedBox,
   summariseFleet,
 } from "./_fleet_summary.js";
 import {
   BOXES_SPECS,
   type Command,
   type CommandContext,
-  type CommandEnd,
+  type CommandResult,
   EXIT_CODES,
 } from "./command.js";
 
@@ -29,7 +34,7 @@
 /** Boxes up to which each has a line of its own. */
 const FEW_BOXES = 12;
 
-async function boxes({ settings, words }: CommandContext): Promise<CommandEnd> {
+async function boxes({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
   const all = await askAll(settings.entry);
   const chosen = words[0] === undefined ? all : all.filter(({ box }) => box === words[0]);
   if (chosen.length === 0) {
@@ -48,18 +53,18 @@
     ...summary,
     ...shown.flatMap((each) => describe(each, { withLeafs })),
     ...describeEvacuations(chosen),
-    ...heldQueriesOf(chosen).map(describeQuery),
+    ...flaggedQueriesOf(chosen).map(describeQuery),
   ];
   return { exitCode, lines, data: chosen };
 }
 
 /** Asks one box, and through its list all others; one that does not answer holds up none of them. */
-async function askAll(url: string): Promise<ReadonlyArray<AskedBox>> {
+async function askAll(url: string): Promise<ReadonlyArray<QueriedBox>> {
   const first = await readReport(url);
   const self = first.members.find(({ box }) => box === first.box);
   const others = first.members.filter(({ box, state }) => box !== first.box && state !== "dead");
   const asked = await Promise.all(
-    others.map(async ({ box, dataCentre, address, peerPort }): Promise<AskedBox> => {
+    others.map(async ({ box, dataCentre, address, peerPort }): Promise<QueriedBox> => {
       const report = await readReport(`http://${address}:${peerPort}`).catch(() => undefined);
       return { box, dataCentre, report };
     }),
@@ -68,13 +73,13 @@
 }
 
 async function readReport(url: string): Promise<BoxReport> {
-  const call = { method: "GET", path: REPORT_PATH, answerMs: REPORT_MS } as const;
+  const call = { method: "GET", path: REPORT_PATH, timeoutMs: REPORT_MS } as const;
   const { body } = await callEntry(url, call);
   return body as BoxReport;
 }
 
 function describe(
-  { box, report }: AskedBox,
+  { box, report }: QueriedBox,
   { withLeafs }: { readonly withLeafs: boolean },
 ): ReadonlyArray<string> {
   if (report === undefined) {
@@ -89,13 +94,13 @@
       : `configuration ${configuration.version} from the ${configuration.source} for ${seconds(configuration.inForceForMs)}`;
   const way = isWatcher ? "watches the store" : "hears from others";
   const ready = leafs.filter(({ standing }) => standing === "ready").length;
-  const low = Object.entries(extraCallsLeft).filter(([, calls]) => calls < LOW_BUDGET);
+  const low = Object.entries(extraCallsLeft).filter(([, calls]) => calls < MIN_EXTRA_CALLS_LEFT);
   const budgets = low.length === 0 ? "" : `, budgets spent: ${low.map(([name]) => name).join(" ")}`;
   const head = `${box} is ${phase}, ${inForce}, ${way} (${seconds(knownAgoMs)} ago), ${ready} of ${leafs.length} leafs ready${warming}${budgets}`;
   return withLeafs ? [head, ...leafs.map(describeLeaf)] : [head];
 }
 
-function describeEvacuations(asked: ReadonlyArray<AskedBox>): ReadonlyArray<string> {
+function describeEvacuations(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<string> {
   return evacuationsOf(asked).map(({ boxes: count, dataCentre, of }) => {
     return `${dataCentre} is evacuated: ${count} of ${of} boxes send nothing there`;
   });
@@ -115,9 +120,9 @@
   return `query ${fingerprint} is ${standing}: ${lost}, last ${seconds(changedAgoMs)} ago`;
 }
 
-async function lift({ settings, words }: CommandContext): Promise<CommandEnd> {
+async function lift({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
   const [fingerprint = ""] = words;
-  const path = `${LIFT_PATH}${encodeURIComponent(fingerprint)}`;
+  const path = `${CLEAR_QUERY_PATH}${encodeURIComponent(fingerprint)}`;
   const { statusCode } = await callEntry(settings.entry, { method: "POST", path });
   const isLifted = statusCode === 200;
   const text = isLifted
@@ -136,15 +141,15 @@
   boxes: {
     usage: "[BOX]",
     help: "Sums up the boxes of the users' platform by data centre and shows those that differ, asked at one's port for peers; with BOX its leafs too",
-    wordCount: 0,
-    optionalWordCount: 1,
+    positionalCount: 0,
+    optionalPositionalCount: 1,
     specs: BOXES_SPECS,
     run: boxes,
   },
   lift: {
     usage: "FINGERPRINT",
     help: "Clears a query under which leafs were lost, on all boxes, asked at one's port for peers; its fingerprint stands in the log line of each of its requests",
-    wordCount: 1,
+    positionalCount: 1,
     specs: {},
     run: lift,
   },
--- a/cli/command.ts
+++ b/cli/command.ts
@@ -15,7 +15,7 @@
 } as const;
 
 /** What a command ends with. */
-export interface CommandEnd {
+export interface CommandResult {
   readonly exitCode: number;
   /** Lines for a person. */
   readonly lines: ReadonlyArray<string>;
@@ -55,8 +55,8 @@
     kind: "number",
     help: "Longest wait, in milliseconds",
     fallback: "30000",
-    least: 0,
-    most: 600_000,
+    min: 0,
+    max: 600_000,
   },
 } as const satisfies SettingSpecs;
 
@@ -67,8 +67,8 @@
     kind: "number",
     help: "Time until the answer is of no use, in milliseconds",
     fallback: "1000",
-    least: 1,
-    most: 60_000,
+    min: 1,
+    max: 60_000,
   },
   caller: { kind: "text", help: "Who asks", fallback: "operator" },
   rights: { kind: "text", help: "Scope of rights; by default the caller's own", fallback: "" },
@@ -83,8 +83,8 @@
     kind: "number",
     help: "Most rows; 0 for all",
     fallback: "0",
-    least: 0,
-    most: 100_000,
+    min: 0,
+    max: 100_000,
   },
   once: {
     kind: "flag",
@@ -123,7 +123,7 @@
 export interface CommandContext {
   readonly settings: CommandSettings;
   /** Words behind the command's name. */
-  readonly words: ReadonlyArray<string>;
+  readonly positionals: ReadonlyArray<string>;
 }
 
 /** One command. */
@@ -132,9 +132,9 @@
   readonly usage: string;
   readonly help: string;
   /** Number of words that must follow. */
-  readonly wordCount: number;
+  readonly positionalCount: number;
   /** Number of words that may follow besides; none by default. */
-  readonly optionalWordCount?: number;
+  readonly optionalPositionalCount?: number;
   readonly specs: SettingSpecs;
-  readonly run: (context: CommandContext) => Promise<CommandEnd>;
+  readonly run: (context: CommandContext) => Promise<CommandResult>;
 }
--- a/cli/explain_command.ts
+++ b/cli/explain_command.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { createInterface } from "node:readline";
-import { type Command, type CommandEnd, EXIT_CODES } from "./command.js";
+import { type Command, type CommandResult, EXIT_CODES } from "./command.js";
 
 /** A line of a box's log. */
 interface LogLine {
@@ -89,7 +89,7 @@
   return fields.map(([name, value]) => ` ${name}=${JSON.stringify(value)}`).join("");
 }
 
-async function explain(requestId: string): Promise<CommandEnd> {
+async function explain(requestId: string): Promise<CommandResult> {
   const lines: Array<string> = [];
   for await (const line of createInterface({ input: process.stdin })) {
     lines.push(line);
@@ -107,8 +107,8 @@
   explain: {
     usage: "REQUEST-ID < logs",
     help: "Tells from boxes' logs on standard input what became of a request, and what its box believed then",
-    wordCount: 1,
+    positionalCount: 1,
     specs: {},
-    run: ({ words }) => explain(words[0] ?? ""),
+    run: ({ positionals: words }) => explain(words[0] ?? ""),
   },
 };
--- a/cli/object_commands.ts
+++ b/cli/object_commands.ts
@@ -6,11 +6,11 @@
 import { randomUUID } from "node:crypto";
 import { createTwoFilesPatch } from "diff";
 import type { CatalogObject } from "../model/mod.js";
-import { CommandError, callEntry, errorSentence, readJsonFile } from "./_entry_http.js";
+import { CommandError, callEntry, errorMessage, readJsonFile } from "./_entry_http.js";
 import {
   type Command,
   type CommandContext,
-  type CommandEnd,
+  type CommandResult,
   type CommandSettings,
   EXIT_CODES,
   SUBMIT_SPECS,
@@ -35,11 +35,11 @@
  */
 export function objectCommands(collection: Collection): Readonly<Record<string, Command>> {
   const { noun } = collection;
-  const plain = { specs: {}, wordCount: 1 };
+  const plain = { specs: {}, positionalCount: 1 };
   return {
     [`${noun} list`]: {
       ...plain,
-      wordCount: 0,
+      positionalCount: 0,
       usage: "",
       help: `Lists each ${noun} with its revision in force`,
       run: (context) => list(collection, context),
@@ -79,7 +79,7 @@
   };
 }
 
-async function list({ path }: Collection, { settings }: CommandContext): Promise<CommandEnd> {
+async function list({ path }: Collection, { settings }: CommandContext): Promise<CommandResult> {
   const { body } = await callEntry(settings.entry, { method: "GET", path: `/v1/${path}` });
   const { objects } = body as {
     readonly objects: ReadonlyArray<{ readonly name: string; readonly revision: number }>;
@@ -90,7 +90,7 @@
 
 async function readObject(
   { path, noun }: Collection,
-  { settings, words }: CommandContext,
+  { settings, positionals: words }: CommandContext,
 ): Promise<CatalogObject> {
   const name = words[0] ?? "";
   const answer = await callEntry(settings.entry, { method: "GET", path: `/v1/${path}/${name}` });
@@ -100,13 +100,13 @@
   return answer.body as CatalogObject;
 }
 
-async function get(collection: Collection, context: CommandContext): Promise<CommandEnd> {
+async function get(collection: Collection, context: CommandContext): Promise<CommandResult> {
   const object = await readObject(collection, context);
   const lines = [JSON.stringify(object.value, null, 2)];
   return { exitCode: EXIT_CODES.ok, lines, data: object };
 }
 
-async function history(collection: Collection, context: CommandContext): Promise<CommandEnd> {
+async function history(collection: Collection, context: CommandContext): Promise<CommandResult> {
   const object = await readObject(collection, context);
   const lines = object.history.map(({ revision, author, submissionId, submittedAtEpochMs }) => {
     const submittedAt = new Date(submittedAtEpochMs).toISOString();
@@ -115,11 +115,13 @@
   return { exitCode: EXIT_CODES.ok, lines, data: object.history };
 }
 
-async function diff(collection: Collection, context: CommandContext): Promise<CommandEnd> {
-  const [file = ""] = context.words;
+async function diff(collection: Collection, context: CommandContext): Promise<CommandResult> {
+  const [file = ""] = context.positionals;
   const value = readJsonFile(file);
   const words = [nameOf(value)];
-  const held = await readObject(collection, { ...context, words }).catch(() => undefined);
+  const held = await readObject(collection, { ...context, positionals: words }).catch(
+    () => undefined,
+  );
   const before = held === undefined ? "" : `${JSON.stringify(held.value, null, 2)}\n`;
   const after = `${JSON.stringify(value, null, 2)}\n`;
   const title = held === undefined ? "not there" : `revision ${held.revision}`;
@@ -136,13 +138,13 @@
   return service;
 }
 
-async function submit(collection: Collection, context: CommandContext): Promise<CommandEnd> {
-  const value = readJsonFile(context.words[0] ?? "");
+async function submit(collection: Collection, context: CommandContext): Promise<CommandResult> {
+  const value = readJsonFile(context.positionals[0] ?? "");
   return change(collection, context, { method: "PUT", name: nameOf(value), body: value });
 }
 
-async function remove(collection: Collection, context: CommandContext): Promise<CommandEnd> {
-  return change(collection, context, { method: "DELETE", name: context.words[0] ?? "" });
+async function remove(collection: Collection, context: CommandContext): Promise<CommandResult> {
+  return change(collection, context, { method: "DELETE", name: context.positionals[0] ?? "" });
 }
 
 interface Change {
@@ -168,7 +170,7 @@
   collection: Collection,
   { settings }: CommandContext,
   { method, name, body }: Change,
-): Promise<CommandEnd> {
+): Promise<CommandResult> {
   const submissionId = settings.submission === "" ? randomUUID() : settings.submission;
   const query = new URLSearchParams({ author: settings.author, submission: submissionId });
   if (settings.base !== "") {
@@ -182,7 +184,7 @@
   });
   const told = answer.body as SubmitBody;
   if (told.outcome === undefined) {
-    throw new CommandError(errorSentence(answer.body), EXIT_CODES.usage);
+    throw new CommandError(errorMessage(answer.body), EXIT_CODES.usage);
   }
   const lines = [`${collection.noun} ${name}: ${told.message} (submission ${submissionId})`];
   const exitCode = OUTCOME_CODES[told.outcome] ?? EXIT_CODES.failed;
@@ -202,7 +204,7 @@
 async function waitInForce(
   settings: CommandSettings,
   { key, revision }: Awaited,
-): Promise<CommandEnd> {
+): Promise<CommandResult> {
   const startedAtMs = performance.now();
   while (true) {
     const daemons = await readStatus(settings.entry);
--- a/cli/query_command.ts
+++ b/cli/query_command.ts
@@ -4,24 +4,24 @@
  * @module
  */
 import type { QueryAnswer } from "../model/mod.js";
-import { CommandError, callEntry, errorSentence, readJsonFile } from "./_entry_http.js";
+import { CommandError, callEntry, errorMessage, readJsonFile } from "./_entry_http.js";
 import {
   type Command,
   type CommandContext,
-  type CommandEnd,
+  type CommandResult,
   type CommandSettings,
   EXIT_CODES,
   POLICY_SPECS,
   QUERY_SPECS,
 } from "./command.js";
 
-async function query({ settings, words }: CommandContext): Promise<CommandEnd> {
+async function query({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
   const body = { ...queryBody(settings), ...(await onceFields(settings)) };
   const path = `/v1/services/${words[0]}/query`;
   const answer = await callEntry(settings.entry, { method: "POST", path, body });
   const told = answer.body as Partial<QueryAnswer>;
   if (told.outcome === undefined) {
-    throw new CommandError(errorSentence(answer.body), EXIT_CODES.usage);
+    throw new CommandError(errorMessage(answer.body), EXIT_CODES.usage);
   }
   const isAnswered = told.outcome === "complete" || told.outcome === "partial";
   const exitCode = isAnswered
@@ -77,7 +77,10 @@
   ];
 }
 
-async function checkPolicies({ settings, words }: CommandContext): Promise<CommandEnd> {
+async function checkPolicies({
+  settings,
+  positionals: words,
+}: CommandContext): Promise<CommandResult> {
   const file = readJsonFile(words[0] ?? "") as { readonly policies?: unknown } | null;
   const policies = file?.policies ?? file;
   const sample = settings.sample === "" ? undefined : readJsonFile(settings.sample);
@@ -89,7 +92,7 @@
   if (answer.statusCode !== 200) {
     return {
       exitCode: EXIT_CODES.failed,
-      lines: [errorSentence(answer.body)],
+      lines: [errorMessage(answer.body)],
       data: answer.body,
     };
   }
@@ -105,21 +108,21 @@
   query: {
     usage: "SERVICE",
     help: "Sends a query and prints the answer",
-    wordCount: 1,
+    positionalCount: 1,
     specs: QUERY_SPECS,
     run: query,
   },
   "policy check": {
     usage: "FILE",
     help: "Checks the policies of a file and shows what they decide for a plain request",
-    wordCount: 1,
+    positionalCount: 1,
     specs: {},
     run: checkPolicies,
   },
   "policy dry-run": {
     usage: "FILE",
     help: "Shows what the policies of a file decide for a sample request",
-    wordCount: 1,
+    positionalCount: 1,
     specs: POLICY_SPECS,
     run: checkPolicies,
   },
--- a/cli/run_command.ts
+++ b/cli/run_command.ts
@@ -10,7 +10,7 @@
   ALL_SPECS,
   COMMON_SPECS,
   type Command,
-  type CommandEnd,
+  type CommandResult,
   type CommandSettings,
   EXIT_CODES,
 } from "./command.js";
@@ -29,7 +29,7 @@
 };
 
 /** What the program prints and ends with. */
-export interface ProgramEnd {
+export interface ProgramResult {
   readonly exitCode: number;
   readonly output: string;
   readonly errors: string;
@@ -41,7 +41,7 @@
  * @param source - Arguments and environment.
  * @returns What to print and the exit code.
  */
-export async function runCommand({ args, env }: SettingSource): Promise<ProgramEnd> {
+export async function runCommand({ args, env }: SettingSource): Promise<ProgramResult> {
   const [first = "", second = ""] = args;
   const name = COMMANDS[`${first} ${second}`] === undefined ? first : `${first} ${second}`;
   const command = COMMANDS[name];
@@ -54,18 +54,18 @@
   if (parsed.isErr()) {
     return usageFault(parsed.error.join("\n"));
   }
-  const { help, words, settings } = parsed.value;
+  const { help, positionals: words, settings } = parsed.value;
   const usage = `Usage: rackvale ${name} ${command.usage}`.trimEnd();
   if (help) {
     const output = helpText(`${usage}\n\n${command.help}.`, specs);
     return { exitCode: EXIT_CODES.ok, output, errors: "" };
   }
-  const { wordCount, optionalWordCount = 0 } = command;
+  const { positionalCount: wordCount, optionalPositionalCount: optionalWordCount = 0 } = command;
   if (words.length < wordCount || words.length > wordCount + optionalWordCount) {
     return usageFault(`Cannot run "${name}": expected ${command.usage || "no words"}`);
   }
   const full = { ...fallbacks(), ...settings } as CommandSettings;
-  return finish(await runSafely(command, { settings: full, words }), full.json);
+  return finish(await runSafely(command, { settings: full, positionals: words }), full.json);
 }
 
 function fallbacks(): Partial<CommandSettings> {
@@ -77,7 +77,7 @@
 async function runSafely(
   command: Command,
   context: Parameters<Command["run"]>[0],
-): Promise<CommandEnd | CommandError> {
+): Promise<CommandResult | CommandError> {
   try {
     return await command.run(context);
   } catch (error) {
@@ -88,7 +88,7 @@
   }
 }
 
-function finish(end: CommandEnd | CommandError, asJson: boolean): ProgramEnd {
+function finish(end: CommandResult | CommandError, asJson: boolean): ProgramResult {
   if (end instanceof CommandError) {
     return { exitCode: end.exitCode, output: "", errors: `${end.message}\n` };
   }
@@ -96,11 +96,11 @@
   return { exitCode: end.exitCode, output: `${text}\n`, errors: "" };
 }
 
-function usageFault(message: string): ProgramEnd {
+function usageFault(message: string): ProgramResult {
   return { exitCode: EXIT_CODES.usage, output: "", errors: `${message}\n` };
 }
 
-function overview(args: ReadonlyArray<string>): ProgramEnd {
+function overview(args: ReadonlyArray<string>): ProgramResult {
   const lines = Object.entries(COMMANDS).map(([name, { usage, help }]) => {
     return `  ${`${name} ${usage}`.padEnd(26)} ${help}`;
   });
--- a/cli/status_command.ts
+++ b/cli/status_command.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import type { DaemonReport } from "../daemon/mod.js";
-import { callEntry, errorSentence } from "./_entry_http.js";
-import { type Command, type CommandContext, type CommandEnd, EXIT_CODES } from "./command.js";
+import { callEntry, errorMessage } from "./_entry_http.js";
+import { type Command, type CommandContext, type CommandResult, EXIT_CODES } from "./command.js";
 
 /** One daemon as the status names it. */
 export interface DaemonStatus {
@@ -28,7 +28,7 @@
   return (body as { readonly daemons: ReadonlyArray<DaemonStatus> }).daemons;
 }
 
-async function status({ settings }: CommandContext): Promise<CommandEnd> {
+async function status({ settings }: CommandContext): Promise<CommandResult> {
   const daemons = await readStatus(settings.entry);
   const lines = daemons.map(describe);
   const isWell = daemons.every((daemon) => daemon.reached);
@@ -50,7 +50,7 @@
   return `${memberId} is ${phase}, ${condition}${owned}, in force ${inForce.join(" ") || "nothing"}`;
 }
 
-async function entries({ settings }: CommandContext): Promise<CommandEnd> {
+async function entries({ settings }: CommandContext): Promise<CommandResult> {
   const { body } = await callEntry(settings.entry, { method: "GET", path: "/v1/entries" });
   const advice = body as {
     readonly entries: ReadonlyArray<{
@@ -71,11 +71,11 @@
   };
 }
 
-async function drain({ settings, words }: CommandContext): Promise<CommandEnd> {
+async function drain({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
   const path = `/v1/drain/${encodeURIComponent(words[0] ?? "")}`;
   const { statusCode, body } = await callEntry(settings.entry, { method: "POST", path });
   if (statusCode !== 202) {
-    return { exitCode: EXIT_CODES.failed, lines: [errorSentence(body)], data: body };
+    return { exitCode: EXIT_CODES.failed, lines: [errorMessage(body)], data: body };
   }
   const { draining } = body as { readonly draining: ReadonlyArray<string> };
   return { exitCode: EXIT_CODES.ok, lines: [`draining ${draining.join(", ")}`], data: body };
@@ -86,21 +86,21 @@
   status: {
     usage: "",
     help: "Shows each daemon: its phase, what is in force on it, what it owns",
-    wordCount: 0,
+    positionalCount: 0,
     specs: {},
     run: status,
   },
   entries: {
     usage: "",
     help: "Shows the addresses that callers are told to use",
-    wordCount: 0,
+    positionalCount: 0,
     specs: {},
     run: entries,
   },
   drain: {
     usage: "BOX",
     help: "Begins the planned stop of a box's daemons",
-    wordCount: 1,
+    positionalCount: 1,
     specs: {},
     run: drain,
   },
--- a/clock/box_clock.ts
+++ b/clock/box_clock.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import { uptime } from "node:os";
-import { SuspensionClock } from "./suspension_clock.js";
+import { SuspendAwareClock } from "./suspend_aware_clock.js";
 
 /** The clock of this process. */
-export const BOX_CLOCK = new SuspensionClock({
-  steadyMs: () => performance.now(),
+export const BOX_CLOCK = new SuspendAwareClock({
+  monotonicMs: () => performance.now(),
   epochMs: () => Date.now(),
   bootMs: () => uptime() * 1_000,
 });
--- a/clock/mod.ts
+++ b/clock/mod.ts
@@ -4,4 +4,4 @@
  * @module
  */
 export * from "./box_clock.js";
-export * from "./suspension_clock.js";
+export * from "./suspend_aware_clock.js";
--- a/clock/suspension_clock.ts
+++ b/clock/suspend_aware_clock.ts
@@ -30,7 +30,7 @@
 /** What the clock reads; each in milliseconds. */
 export interface ClockSources {
   /** Stands still during a suspension; never stepped. */
-  readonly steadyMs: () => number;
+  readonly monotonicMs: () => number;
   /** Time of day; goes on during a suspension, may be stepped. */
   readonly epochMs: () => number;
   /** Time since boot; goes on during a suspension, never stepped. Some platforms do not keep it. */
@@ -54,7 +54,7 @@
 }
 
 /** The clock. */
-export class SuspensionClock {
+export class SuspendAwareClock {
   readonly #sources: ClockSources;
   #onJump: (jump: ClockJump) => void = () => undefined;
   /** Time spent suspended so far. */
@@ -69,7 +69,7 @@
    */
   constructor(sources: ClockSources) {
     this.#sources = sources;
-    this.#aheadMs = sources.epochMs() - sources.steadyMs();
+    this.#aheadMs = sources.epochMs() - sources.monotonicMs();
     this.#look = this.#read();
   }
 
@@ -78,7 +78,7 @@
    *
    * @param onJump - Told of each as soon as the clock is read after it.
    */
-  listen(onJump: (jump: ClockJump) => void): void {
+  setJumpListener(onJump: (jump: ClockJump) => void): void {
     this.#onJump = onJump;
   }
 
@@ -88,7 +88,7 @@
    * @returns Milliseconds since the process started, suspensions included.
    */
   nowMs(): number {
-    const steadyMs = this.#sources.steadyMs();
+    const steadyMs = this.#sources.monotonicMs();
     const aheadMs = this.#sources.epochMs() - steadyMs;
     const jumpMs = aheadMs - this.#aheadMs;
     this.#aheadMs = aheadMs;
@@ -99,9 +99,9 @@
   }
 
   /** Looks now and then whether the clock since boot goes with the steady one. */
-  look(): void {
+  checkBootClock(): void {
     const before = this.#look;
-    if (this.#sources.steadyMs() - before.steadyMs < LOOK_EVERY_MS) {
+    if (this.#sources.monotonicMs() - before.steadyMs < LOOK_EVERY_MS) {
       return;
     }
     // First, so that a suspension is not taken for a clock that disagrees.
@@ -131,6 +131,6 @@
   }
 
   #read(): Reading {
-    return { steadyMs: this.#sources.steadyMs(), bootMs: this.#sources.bootMs() };
+    return { steadyMs: this.#sources.monotonicMs(), bootMs: this.#sources.bootMs() };
   }
 }
--- a/clock/suspension_clock_test.ts
+++ b/clock/suspend_aware_clock_test.ts
@@ -1,22 +1,22 @@
 import t from "tap";
-import { type ClockJump, SuspensionClock } from "./suspension_clock.js";
+import { type ClockJump, SuspendAwareClock } from "./suspend_aware_clock.js";
 
 /** A clock over sources that the test moves; some boot clocks are not kept by their platform. */
 function setUp({ bootIsKept = true } = {}) {
   const at = { steadyMs: 1_000, epochMs: 1_700_000_000_000, bootMs: 90_000 };
-  const clock = new SuspensionClock({
-    steadyMs: () => at.steadyMs,
+  const clock = new SuspendAwareClock({
+    monotonicMs: () => at.steadyMs,
     epochMs: () => at.epochMs,
     bootMs: () => (bootIsKept ? Math.round(at.bootMs / 10) * 10 : at.bootMs / 3),
   });
   const jumps: Array<ClockJump> = [];
-  clock.listen((jump) => jumps.push(jump));
+  clock.setJumpListener((jump) => jumps.push(jump));
   const run = (timeMs: number): void => {
     for (let passedMs = 0; passedMs < timeMs; passedMs += 100) {
       at.steadyMs += 100;
       at.epochMs += 100;
       at.bootMs += 100;
-      clock.look();
+      clock.checkBootClock();
     }
   };
   const suspend = (timeMs: number): void => {
--- a/knowledge/_shared_fields.ts
+++ b/cluster_state/_shared_state_fields.ts
@@ -11,19 +11,19 @@
 import type { Configuration, Route, RouteTarget, ServiceTerms } from "../routing/mod.js";
 
 /** What a peer that is behind takes over. */
-export interface SharedKnowledge {
+export interface SharedState {
   /** Missing where the peer has it already. */
   readonly configuration?: Configuration;
   readonly leafs: ReadonlyArray<Leaf>;
   /** Ids of leafs that are gone; missing where `leafs` holds all there are. */
   readonly removed?: ReadonlyArray<string>;
   /** Leafs whose entry is gone but may come back, and the time they have left, in milliseconds. */
-  readonly lapsed: ReadonlyArray<LapsedLeaf>;
+  readonly lapsed: ReadonlyArray<ExpiredLeaf>;
   readonly leafsRevision: number;
 }
 
 /** A leaf whose entry is gone but may come back. */
-export interface LapsedLeaf {
+export interface ExpiredLeaf {
   readonly leafId: string;
   readonly leftMs: number;
 }
@@ -78,7 +78,7 @@
   warmingForMs: isNumber,
 };
 
-const LAPSED: Checks<LapsedLeaf> = { leafId: isText, leftMs: isNumber };
+const LAPSED: Checks<ExpiredLeaf> = { leafId: isText, leftMs: isNumber };
 
 const TARGETS: { readonly [Kind in RouteTarget["kind"]]: Check } = {
   single: recordOf<Extract<RouteTarget, { readonly kind: "single" }>>({
@@ -131,7 +131,7 @@
   }),
 };
 
-const isShared = recordOf<SharedKnowledge>({
+const isShared = recordOf<SharedState>({
   configuration: optional(recordOf(CONFIGURATION)),
   leafs: listOf(recordOf(LEAF)),
   removed: optional(listOf(isText)),
@@ -145,6 +145,6 @@
  * @param data - What was read.
  * @returns Whether each value is what it should be; values beyond those known are passed over.
  */
-export function isSharedKnowledge(data: unknown): data is SharedKnowledge {
+export function isSharedState(data: unknown): data is SharedState {
   return isShared(data);
 }
--- a/knowledge/box_knowledge.ts
+++ b/cluster_state/cluster_state.ts
@@ -4,9 +4,9 @@
  * @module
  */
 
-import type { Progress } from "../fleet/mod.js";
+import type { SyncProgress } from "../fleet/mod.js";
 import type { LeafTable } from "../leafs/mod.js";
-import { type EvacuationNews, eraOf, type StorePosition } from "../model/mod.js";
+import { type EvacuationUpdate, eraOf, type StorePosition } from "../model/mod.js";
 import {
   CONFIGURATION_KIND,
   CONFIGURATION_NAME,
@@ -16,13 +16,13 @@
   type StoreClient,
   type StoreObject,
 } from "../platform/mod.js";
-import { type Configuration, type RouteTable, routeTable } from "../routing/mod.js";
+import { buildRouteTable, type Configuration, type RouteTable } from "../routing/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 import { Evacuations } from "./evacuations.js";
 import { LeafRegistry } from "./leaf_registry.js";
-import { RegistryWatch } from "./registry_watch.js";
-import { type SharedKnowledge, shareKnowledge } from "./shared_knowledge.js";
+import { type SharedState, selectSharedState } from "./shared_state.js";
 import { StoreHealth } from "./store_health.js";
+import { StoreWatch } from "./store_watch.js";
 
 /**
  * Services up to which a box lists the leafs at once when it starts. Where there are more, the list
@@ -37,7 +37,7 @@
 const WAIT_FOR_PEER_MS = 2_500;
 
 /** The configuration in force, and how it came. */
-export interface AdoptedConfiguration {
+export interface ActiveConfiguration {
   readonly version: number;
   readonly source: "store" | "peer";
   /** When it came into force, on this box's clock. */
@@ -45,7 +45,7 @@
 }
 
 /** What the knowledge is made from. */
-export interface BoxKnowledgeOptions {
+export interface ClusterStateOptions {
   readonly store: StoreClient;
   /** Longest time that a watch waits for a change, in milliseconds. */
   readonly waitMs: number;
@@ -56,31 +56,31 @@
   /** Told after each change of the leafs. */
   readonly onLeafs: () => void;
   /** Told when the store has come back from a copy, so that it lacks what boxes wrote last. */
-  readonly onOlderStore: () => void;
+  readonly onStoreRestored: () => void;
   /** Whether operators may have data centres emptied; else the store is not asked for it. */
-  readonly hasEvacuations: boolean;
+  readonly isEvacuationEnabled: boolean;
   /** Told after each change of the evacuated data centres, with those that are used again. */
   readonly onEvacuations: (usedAgain: ReadonlyArray<string>) => void;
 }
 
 /** The configuration and the leafs that a box acts by. */
-export class BoxKnowledge {
-  readonly #options: BoxKnowledgeOptions;
-  readonly #configurationWatch: RegistryWatch;
-  readonly #leafWatch: RegistryWatch;
-  readonly #evacuationWatch: RegistryWatch;
+export class ClusterState {
+  readonly #options: ClusterStateOptions;
+  readonly #configurationWatch: StoreWatch;
+  readonly #leafWatch: StoreWatch;
+  readonly #evacuationWatch: StoreWatch;
   readonly #leafs: LeafRegistry;
   readonly #evacuations: Evacuations;
   readonly #health: StoreHealth;
   #startedAtMs = 0;
   #isWatcher = true;
   #routes: RouteTable | undefined;
-  #adopted: AdoptedConfiguration | undefined;
+  #adopted: ActiveConfiguration | undefined;
 
   /**
    * @param options - What the knowledge is made from.
    */
-  constructor(options: BoxKnowledgeOptions) {
+  constructor(options: ClusterStateOptions) {
     this.#options = options;
     const { nowMs, onLeafs, store, telemetry, waitMs } = options;
     const health = new StoreHealth({ telemetry, nowMs });
@@ -92,28 +92,28 @@
       onChange: onLeafs,
     });
     this.#evacuations = new Evacuations({ telemetry, nowMs, onChange: options.onEvacuations });
-    this.#configurationWatch = new RegistryWatch(
+    this.#configurationWatch = new StoreWatch(
       { store, kind: CONFIGURATION_KIND, waitMs, mayBeStale: false },
       health.listener(CONFIGURATION_KIND, {
         onList: ({ objects }) => this.#readConfiguration(objects),
         onChanges: ({ changed }) => this.#readConfiguration(changed),
       }),
     );
-    this.#leafWatch = new RegistryWatch(
+    this.#leafWatch = new StoreWatch(
       { store, kind: LEAF_KIND, waitMs, mayBeStale: true },
       health.listener(LEAF_KIND, {
         onList: (list) => {
           this.#noteEra(list.revision);
-          this.#leafs.takeList(list);
+          this.#leafs.applyList(list);
         },
-        onChanges: (changes) => this.#leafs.takeChanges(changes),
+        onChanges: (changes) => this.#leafs.applyChanges(changes),
       }),
     );
-    this.#evacuationWatch = new RegistryWatch(
+    this.#evacuationWatch = new StoreWatch(
       { store, kind: EVACUATION_KIND, waitMs, mayBeStale: false },
       health.listener(EVACUATION_KIND, {
-        onList: (list) => this.#evacuations.takeList(list),
-        onChanges: (changes) => this.#evacuations.takeChanges(changes),
+        onList: (list) => this.#evacuations.applyList(list),
+        onChanges: (changes) => this.#evacuations.applyChanges(changes),
       }),
     );
     this.#leafWatch.pause();
@@ -161,7 +161,7 @@
       revision: this.#leafs.revision,
     });
     this.#setWanted(this.#evacuationWatch, EVACUATION_KIND, {
-      isWanted: isWatcher && this.#options.hasEvacuations && this.#hasLearntPeers,
+      isWanted: isWatcher && this.#options.isEvacuationEnabled && this.#hasLearntPeers,
       revision: this.#evacuations.position,
     });
   }
@@ -185,7 +185,7 @@
   }
 
   #setWanted(
-    watch: RegistryWatch,
+    watch: StoreWatch,
     kind: string,
     { isWanted, revision }: { readonly isWanted: boolean; readonly revision: number },
   ): void {
@@ -203,7 +203,7 @@
   }
 
   /** Where the configuration in force came from and when, or nothing before the first. */
-  get adopted(): AdoptedConfiguration | undefined {
+  get activeConfiguration(): ActiveConfiguration | undefined {
     return this.#adopted;
   }
 
@@ -218,8 +218,8 @@
   }
 
   /** What other boxes are told of evacuations; nothing while there was none. */
-  get evacuationNews(): EvacuationNews | undefined {
-    return this.#evacuations.news;
+  get evacuationUpdate(): EvacuationUpdate | undefined {
+    return this.#evacuations.update;
   }
 
   /**
@@ -228,8 +228,8 @@
    * @param news - What it knows.
    * @returns Whether it was ahead of this one.
    */
-  hearEvacuations(news: EvacuationNews): boolean {
-    return this.#evacuations.hear(news);
+  mergeEvacuations(news: EvacuationUpdate): boolean {
+    return this.#evacuations.merge(news);
   }
 
   /** Revision of the store up to which the leafs' entries are known. */
@@ -238,7 +238,7 @@
   }
 
   /** How far this box is with what lasts in the store. */
-  get progress(): Progress {
+  get progress(): SyncProgress {
     return {
       configurationVersion: this.#routes?.configuration.version ?? 0,
       leafsRevision: this.#leafs.revision,
@@ -246,13 +246,13 @@
   }
 
   /** When the store or a peer's news was last heard, on this box's clock; minus infinity before. */
-  get heardAtMs(): number {
-    return this.#health.heardAtMs;
+  get lastUpdateAtMs(): number {
+    return this.#health.lastUpdateAtMs;
   }
 
   /** Whether the store can be heard. */
   get isStoreReachable(): boolean {
-    return this.#health.isHeard;
+    return this.#health.isReachable;
   }
 
   /** Age of the store's last answer in milliseconds, by kind of object that this box watches. */
@@ -261,9 +261,9 @@
   }
 
   /** Drops the leafs whose entry did not come back in time. */
-  dropOverdue(): void {
-    this.#leafs.dropOverdue({ isStoreReachable: this.isStoreReachable });
-    this.#evacuations.dropOverdue();
+  dropExpired(): void {
+    this.#leafs.dropExpired({ isStoreReachable: this.isStoreReachable });
+    this.#evacuations.dropExpired();
   }
 
   /**
@@ -272,8 +272,8 @@
    * @param progress - How far the peer is.
    * @returns What it lacks.
    */
-  share(progress: Progress): SharedKnowledge {
-    const { news, revision, table } = this.#leafs;
+  sharedStateSince(progress: SyncProgress): SharedState {
+    const { changeLog: news, revision, table } = this.#leafs;
     const known = {
       configuration: this.#routes?.configuration,
       leafs: table,
@@ -281,7 +281,7 @@
       news,
       nowMs: this.#options.nowMs(),
     };
-    return shareKnowledge(known, progress);
+    return selectSharedState(known, progress);
   }
 
   /**
@@ -289,9 +289,9 @@
    *
    * @param shared - What the peer handed over.
    */
-  takeOver(shared: SharedKnowledge): void {
-    this.#health.noteHeard();
-    this.#leafs.takeShared(shared);
+  mergeSharedState(shared: SharedState): void {
+    this.#health.recordUpdate();
+    this.#leafs.mergeSharedState(shared);
     if (shared.configuration !== undefined) {
       this.#adopt(shared.configuration, "peer");
     }
@@ -300,10 +300,10 @@
   /** Gives leafs time to write their entries again, and has what boxes had written written again. */
   #noteEra(position: StorePosition): void {
     if (this.#leafs.revision > 0 && eraOf(position) > eraOf(this.#leafs.revision)) {
-      this.#health.noteReturn();
+      this.#health.recordRecovery();
       const fields = { era: eraOf(position), before: eraOf(this.#leafs.revision) };
       this.#options.telemetry.event("warn", "store: came back from a copy", fields);
-      this.#options.onOlderStore();
+      this.#options.onStoreRestored();
     }
   }
 
@@ -327,7 +327,7 @@
     if (configuration.version <= version) {
       return;
     }
-    this.#routes = routeTable(configuration);
+    this.#routes = buildRouteTable(configuration);
     this.#adopted = { version: configuration.version, source, atMs: this.#options.nowMs() };
     this.setWatcher(this.#isWatcher);
     const fields = { version: configuration.version, before: version, source };
--- a/knowledge/evacuations.ts
+++ b/cluster_state/evacuations.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { type EvacuationNews, eraOf, type StorePosition } from "../model/mod.js";
+import { type EvacuationUpdate, eraOf, type StorePosition } from "../model/mod.js";
 import type { StoreChanges, StoreList } from "../platform/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
@@ -50,7 +50,7 @@
   }
 
   /** What other boxes are told; nothing while no data centre was ever emptied, which is what they assume. */
-  get news(): EvacuationNews | undefined {
+  get update(): EvacuationUpdate | undefined {
     return this.#hasAnyBeen
       ? { position: this.#position, dataCentres: [...this.#dataCentres] }
       : undefined;
@@ -61,7 +61,7 @@
    *
    * @param list - The list.
    */
-  takeList({ objects, revision }: StoreList): void {
+  applyList({ objects, revision }: StoreList): void {
     if (revision < this.#position) {
       return;
     }
@@ -82,7 +82,7 @@
    *
    * @param changes - The changes.
    */
-  takeChanges({ changed, removed, revision }: StoreChanges): void {
+  applyChanges({ changed, removed, revision }: StoreChanges): void {
     if (revision <= this.#position) {
       return;
     }
@@ -104,7 +104,7 @@
    * @param news - What it knows.
    * @returns Whether it was ahead.
    */
-  hear({ dataCentres, position }: EvacuationNews): boolean {
+  merge({ dataCentres, position }: EvacuationUpdate): boolean {
     if (position <= this.#position) {
       return false;
     }
@@ -114,7 +114,7 @@
   }
 
   /** Ends evacuations that a store which came back older did not get again. */
-  dropOverdue(): void {
+  dropExpired(): void {
     const nowMs = this.#options.nowMs();
     const due = [...this.#endAtMs].filter(([, atMs]) => atMs <= nowMs).map(([name]) => name);
     if (due.length > 0) {
--- a/knowledge/evacuations_test.ts
+++ b/cluster_state/evacuations_test.ts
@@ -19,22 +19,22 @@
 
 t.test("an evacuation holds from its change to the one that takes it back", async (t) => {
   const { evacuations, usedAgain } = makeEvacuations();
-  evacuations.takeList({ objects: [], revision: 5 });
-  t.equal(evacuations.news, undefined, "nothing is told while there was none");
-  evacuations.takeChanges({ changed: objectsOf("a"), removed: [], revision: 7 });
+  evacuations.applyList({ objects: [], revision: 5 });
+  t.equal(evacuations.update, undefined, "nothing is told while there was none");
+  evacuations.applyChanges({ changed: objectsOf("a"), removed: [], revision: 7 });
   t.same([...evacuations.dataCentres], ["a"]);
-  evacuations.takeChanges({ changed: [], removed: ["a"], revision: 9 });
+  evacuations.applyChanges({ changed: [], removed: ["a"], revision: 9 });
   t.same([...evacuations.dataCentres], []);
   t.same(usedAgain, ["a"]);
-  t.same(evacuations.news, { position: 9, dataCentres: [] }, "its end is told as well");
+  t.same(evacuations.update, { position: 9, dataCentres: [] }, "its end is told as well");
 });
 
 t.test("what another box knows counts where it is ahead", async (t) => {
   const { evacuations } = makeEvacuations();
-  t.ok(evacuations.hear({ position: 7, dataCentres: ["a"] }));
-  t.notOk(evacuations.hear({ position: 6, dataCentres: [] }));
+  t.ok(evacuations.merge({ position: 7, dataCentres: ["a"] }));
+  t.notOk(evacuations.merge({ position: 6, dataCentres: [] }));
   t.same([...evacuations.dataCentres], ["a"]);
-  evacuations.takeChanges({ changed: [], removed: ["a"], revision: 6 });
+  evacuations.applyChanges({ changed: [], removed: ["a"], revision: 6 });
   t.same([...evacuations.dataCentres], ["a"], "an older change of the store is passed over");
 });
 
@@ -42,13 +42,13 @@
   "a store that came back older ends no evacuation before operators write it again",
   async (t) => {
     const { clock, evacuations } = makeEvacuations();
-    evacuations.takeList({ objects: objectsOf("a", "b"), revision: 100 });
-    evacuations.takeList({ objects: [], revision: storePosition({ era: 1, revision: 90 }) });
+    evacuations.applyList({ objects: objectsOf("a", "b"), revision: 100 });
+    evacuations.applyList({ objects: [], revision: storePosition({ era: 1, revision: 90 }) });
     t.same([...evacuations.dataCentres], ["a", "b"]);
     const revision = storePosition({ era: 1, revision: 92 });
-    evacuations.takeChanges({ changed: objectsOf("a"), removed: [], revision });
+    evacuations.applyChanges({ changed: objectsOf("a"), removed: [], revision });
     clock.nowMs = 60_000;
-    evacuations.dropOverdue();
+    evacuations.dropExpired();
     t.same([...evacuations.dataCentres], ["a"], "what nobody wrote again ends at last");
   },
 );
--- a/knowledge/leaf_news.ts
+++ b/cluster_state/leaf_change_log.ts
@@ -9,20 +9,20 @@
 const MOST_REMOVALS = 500;
 
 /** What has changed among the leafs' entries since a revision. */
-export interface LeafNewsSince {
+export interface LeafChangesSince {
   readonly changed: ReadonlyArray<string>;
   readonly removed: ReadonlyArray<string>;
 }
 
 /** Changes up to a revision. */
-export interface LeafNewsItem {
+export interface LeafChangeBatch {
   readonly changed: Iterable<string>;
   readonly removed: Iterable<string>;
   readonly revision: number;
 }
 
 /** The news of a box about leafs. */
-export class LeafNews {
+export class LeafChangeLog {
   readonly #changedAt = new Map<string, number>();
   readonly #removedAt = new Map<string, number>();
   #completeSince = Number.POSITIVE_INFINITY;
@@ -32,7 +32,7 @@
    *
    * @param revision - Revision of the list.
    */
-  restart(revision: number): void {
+  reset(revision: number): void {
     this.#changedAt.clear();
     this.#removedAt.clear();
     this.#completeSince = revision;
@@ -43,7 +43,7 @@
    *
    * @param item - Ids of the leafs whose entries changed or went, and the revision reached.
    */
-  note({ changed, removed, revision }: LeafNewsItem): void {
+  record({ changed, removed, revision }: LeafChangeBatch): void {
     for (const leafId of changed) {
       this.#changedAt.set(leafId, revision);
       this.#removedAt.delete(leafId);
@@ -63,7 +63,7 @@
    * @param revision - Revision that is known.
    * @returns The changes, or nothing where they are not all remembered.
    */
-  since(revision: number): LeafNewsSince | undefined {
+  since(revision: number): LeafChangesSince | undefined {
     return revision < this.#completeSince
       ? undefined
       : { changed: after(this.#changedAt, revision), removed: after(this.#removedAt, revision) };
--- a/knowledge/leaf_registry.ts
+++ b/cluster_state/leaf_registry.ts
@@ -6,11 +6,11 @@
 import {
   applyLeafChanges,
   applyLeafList,
-  dropOverdueLeafs,
+  dropExpiredLeafs,
+  EMPTY_LEAF_TABLE,
   isSameIncarnation,
   type Leaf,
   type LeafTable,
-  NO_LEAFS,
 } from "../leafs/mod.js";
 import { eraOf, storePosition } from "../model/mod.js";
 import {
@@ -20,8 +20,8 @@
   type StoreObject,
 } from "../platform/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
-import { LeafNews } from "./leaf_news.js";
-import { applyShared, type SharedKnowledge } from "./shared_knowledge.js";
+import { LeafChangeLog } from "./leaf_change_log.js";
+import { applySharedState, type SharedState } from "./shared_state.js";
 
 /** Leafs that a log line names at most. */
 const MOST_NAMED = 20;
@@ -42,8 +42,8 @@
 /** Leafs with the revision of the store up to which they are known. */
 export class LeafRegistry {
   readonly #options: LeafRegistryOptions;
-  readonly news = new LeafNews();
-  #table: LeafTable = NO_LEAFS;
+  readonly changeLog = new LeafChangeLog();
+  #table: LeafTable = EMPTY_LEAF_TABLE;
   #revision = 0;
   /** Leafs whose entry is missing by a peer's word, as of the last one that told. */
   #toldLapsed: ReadonlySet<string> = new Set();
@@ -70,10 +70,10 @@
    *
    * @param list - The list.
    */
-  takeList({ objects, revision }: StoreList): void {
+  applyList({ objects, revision }: StoreList): void {
     if (revision >= this.#revision) {
       const { leafs, unreadable } = this.#decode(objects, eraOf(revision));
-      this.news.restart(revision);
+      this.changeLog.reset(revision);
       const options = { ...this.#removal(), unreadable };
       this.#set(applyLeafList(this.#table, leafs, options), revision);
     }
@@ -84,10 +84,10 @@
    *
    * @param changes - The changes.
    */
-  takeChanges({ changed, removed, revision }: StoreChanges): void {
+  applyChanges({ changed, removed, revision }: StoreChanges): void {
     if (revision > this.#revision) {
       const { leafs, unreadable } = this.#decode(changed, eraOf(revision));
-      this.news.note({
+      this.changeLog.record({
         changed: leafs.map(({ leafId }) => leafId),
         removed: [...removed, ...unreadable],
         revision,
@@ -102,19 +102,19 @@
    *
    * @param shared - What the peer handed over.
    */
-  takeShared(shared: SharedKnowledge): void {
+  mergeSharedState(shared: SharedState): void {
     const { lapsed, leafs, removed, leafsRevision } = shared;
     if (leafsRevision <= this.#revision) {
       return;
     }
     if (removed === undefined) {
-      this.news.restart(leafsRevision);
+      this.changeLog.reset(leafsRevision);
     } else {
       const changed = leafs.map(({ leafId }) => leafId);
-      this.news.note({ changed, removed, revision: leafsRevision });
+      this.changeLog.record({ changed, removed, revision: leafsRevision });
     }
     this.#toldLapsed = new Set(lapsed.map(({ leafId }) => leafId));
-    this.#set(applyShared(this.#table, shared, this.#options.nowMs()), leafsRevision);
+    this.#set(applySharedState(this.#table, shared, this.#options.nowMs()), leafsRevision);
   }
 
   /**
@@ -124,9 +124,9 @@
    *
    * @param options - Whether this box hears the store.
    */
-  dropOverdue({ isStoreReachable }: { readonly isStoreReachable: boolean }): void {
+  dropExpired({ isStoreReachable }: { readonly isStoreReachable: boolean }): void {
     const mayDrop = (leafId: string): boolean => isStoreReachable || this.#toldLapsed.has(leafId);
-    const kept = dropOverdueLeafs(this.#table, { nowMs: this.#options.nowMs(), mayDrop });
+    const kept = dropExpiredLeafs(this.#table, { nowMs: this.#options.nowMs(), mayDrop });
     if (kept !== this.#table) {
       this.#set(kept, this.#revision);
     }
--- a/knowledge/leaf_registry_test.ts
+++ b/cluster_state/leaf_registry_test.ts
@@ -23,12 +23,12 @@
 
 t.test("a list that is older than what peers have told changes nothing", async (t) => {
   const { registry } = makeRegistry();
-  registry.takeList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
+  registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
   const told = registry.table.byId.get("a");
   t.ok(told);
   const draining = { ...(told as NonNullable<typeof told>), draining: true };
-  registry.takeShared({ leafs: [draining], removed: ["b"], lapsed: [], leafsRevision: 20 });
-  registry.takeList({ objects: [entry("a", 5), entry("b", 6)], revision: 15 });
+  registry.mergeSharedState({ leafs: [draining], removed: ["b"], lapsed: [], leafsRevision: 20 });
+  registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 15 });
   t.equal(registry.table.byId.get("a")?.draining, true);
   t.notOk(registry.table.byId.has("b"));
   t.equal(registry.revision, 20);
@@ -36,20 +36,20 @@
 
 t.test("changes that peers have told already are passed over, later ones are taken", async (t) => {
   const { registry, changes } = makeRegistry();
-  registry.takeList({ objects: [entry("a", 5)], revision: 10 });
-  registry.takeShared({ leafs: [], removed: ["a"], lapsed: [], leafsRevision: 20 });
-  registry.takeChanges({ changed: [entry("a", 19)], removed: [], revision: 19 });
+  registry.applyList({ objects: [entry("a", 5)], revision: 10 });
+  registry.mergeSharedState({ leafs: [], removed: ["a"], lapsed: [], leafsRevision: 20 });
+  registry.applyChanges({ changed: [entry("a", 19)], removed: [], revision: 19 });
   t.notOk(registry.table.byId.has("a"));
   t.equal(changes(), 2);
-  registry.takeChanges({ changed: [entry("a", 21)], removed: [], revision: 21 });
+  registry.applyChanges({ changed: [entry("a", 21)], removed: [], revision: 21 });
   t.ok(registry.table.byId.has("a"));
-  t.same(registry.news.since(20), { changed: ["a"], removed: [] });
+  t.same(registry.changeLog.since(20), { changed: ["a"], removed: [] });
 });
 
 t.test("what a peer tells is passed over where this box is ahead", async (t) => {
   const { registry, changes } = makeRegistry();
-  registry.takeList({ objects: [entry("a", 5)], revision: 10 });
-  registry.takeShared({ leafs: [], lapsed: [], leafsRevision: 9 });
+  registry.applyList({ objects: [entry("a", 5)], revision: 10 });
+  registry.mergeSharedState({ leafs: [], lapsed: [], leafsRevision: 9 });
   t.ok(registry.table.byId.has("a"));
   t.equal(changes(), 1);
 });
@@ -59,13 +59,13 @@
   async (t) => {
     let nowMs = 0;
     const { registry } = makeRegistry({ nowMs: () => nowMs, graceMs: 2_000 });
-    registry.takeList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
+    registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
     const leafs = [...registry.table.byId.values()];
-    registry.takeShared({ leafs, lapsed: [{ leafId: "a", leftMs: 500 }], leafsRevision: 20 });
-    registry.dropOverdue({ isStoreReachable: false });
+    registry.mergeSharedState({ leafs, lapsed: [{ leafId: "a", leftMs: 500 }], leafsRevision: 20 });
+    registry.dropExpired({ isStoreReachable: false });
     t.ok(registry.table.byId.has("a"), "it may come back yet");
     nowMs = 600;
-    registry.dropOverdue({ isStoreReachable: false });
+    registry.dropExpired({ isStoreReachable: false });
     t.same([...registry.table.byId.keys()], ["b"]);
   },
 );
@@ -73,11 +73,11 @@
 t.test("a leaf that this box alone misses is kept while the store is away", async (t) => {
   let nowMs = 0;
   const { registry } = makeRegistry({ nowMs: () => nowMs, graceMs: 2_000 });
-  registry.takeList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
-  registry.takeList({ objects: [entry("b", 6)], revision: 11 });
+  registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
+  registry.applyList({ objects: [entry("b", 6)], revision: 11 });
   nowMs = 9_000;
-  registry.dropOverdue({ isStoreReachable: false });
+  registry.dropExpired({ isStoreReachable: false });
   t.ok(registry.table.byId.has("a"));
-  registry.dropOverdue({ isStoreReachable: true });
+  registry.dropExpired({ isStoreReachable: true });
   t.notOk(registry.table.byId.has("a"));
 });
--- a/knowledge/mod.ts
+++ b/cluster_state/mod.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-export * from "./box_knowledge.js";
+export * from "./cluster_state.js";
 export * from "./evacuations.js";
-export * from "./leaf_news.js";
+export * from "./leaf_change_log.js";
 export * from "./leaf_registry.js";
 export * from "./peer_catch_up.js";
 export * from "./quarantine_archive.js";
-export * from "./registry_watch.js";
-export * from "./shared_knowledge.js";
+export * from "./shared_state.js";
 export * from "./store_health.js";
+export * from "./store_watch.js";
