--- a/knowledge/peer_catch_up.ts
+++ b/cluster_state/peer_catch_up.ts
@@ -4,11 +4,11 @@
  * @module
  */
 import { Client } from "undici";
-import type { Progress } from "../fleet/mod.js";
+import type { SyncProgress } from "../fleet/mod.js";
 import type { Member } from "../model/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
-import type { BoxKnowledge } from "./box_knowledge.js";
-import { decodeShared, knowledgeUrl } from "./shared_knowledge.js";
+import type { ClusterState } from "./cluster_state.js";
+import { clusterStateUrl, decodeSharedState } from "./shared_state.js";
 
 /** Time that a peer has to hand over what it knows, in milliseconds. */
 const PEER_ANSWER_MS = 1_000;
@@ -23,17 +23,17 @@
 export interface PeerCatchUpOptions {
   /** Name of this box. */
   readonly box: string;
-  readonly knowledge: Pick<
-    BoxKnowledge,
-    "isStoreReachable" | "isWatcher" | "progress" | "takeOver"
+  readonly clusterState: Pick<
+    ClusterState,
+    "isStoreReachable" | "isWatcher" | "progress" | "mergeSharedState"
   >;
   /** Tells whether a box is in this one's region. */
-  readonly isNear: (member: Member) => boolean;
+  readonly isLocal: (member: Member) => boolean;
   /**
    * Told after something was taken over from a box of another region. It came sooner than from the
    * boxes near that watch the store, so these may not hear it, and the others near wait for them.
    */
-  readonly onFarNews: () => void;
+  readonly onRemoteUpdate: () => void;
   readonly telemetry: Pick<BoxTelemetry, "event">;
 }
 
@@ -57,8 +57,8 @@
    * @param member - The peer.
    * @param progress - How far it is.
    */
-  compare(member: Member, progress: Progress): void {
-    const { box, knowledge } = this.#options;
+  catchUp(member: Member, progress: SyncProgress): void {
+    const { box, clusterState: knowledge } = this.#options;
     if (member.memberId === box || !isAhead(progress, knowledge.progress)) {
       return;
     }
@@ -69,7 +69,7 @@
     this.#fetching = true;
     // A store that is lost tells nothing, and waiting for it would cost a fifth of the time that news has.
     const isStoreExpected = knowledge.isWatcher && knowledge.isStoreReachable;
-    const isExpected = isStoreExpected || !this.#options.isNear(member);
+    const isExpected = isStoreExpected || !this.#options.isLocal(member);
     setTimeout(
       () => {
         const fetched = isAhead(progress, knowledge.progress)
@@ -86,21 +86,26 @@
     const told = this.#toldMeanwhile;
     this.#toldMeanwhile = undefined;
     if (told !== undefined) {
-      this.compare(told.member, told.progress);
+      this.catchUp(told.member, told.progress);
     }
   }
 
   async #fetchFrom(member: Member): Promise<void> {
     const { address, peerPort, box } = member;
-    const { isNear, knowledge, onFarNews, telemetry } = this.#options;
+    const {
+      isLocal: isNear,
+      clusterState: knowledge,
+      onRemoteUpdate: onFarNews,
+      telemetry,
+    } = this.#options;
     const client = new Client(`http://${address}:${peerPort}`);
     try {
       const answer = await client.request({
         method: "GET",
-        path: knowledgeUrl(knowledge.progress),
+        path: clusterStateUrl(knowledge.progress),
         signal: AbortSignal.timeout(PEER_ANSWER_MS),
       });
-      knowledge.takeOver(decodeShared(Buffer.from(await answer.body.arrayBuffer())));
+      knowledge.mergeSharedState(decodeSharedState(Buffer.from(await answer.body.arrayBuffer())));
       telemetry.event("info", "fleet: took over from peer", { member: box });
       if (!isNear(member)) {
         onFarNews();
@@ -117,10 +122,10 @@
 /** How far a peer is. */
 interface PeerNews {
   readonly member: Member;
-  readonly progress: Progress;
+  readonly progress: SyncProgress;
 }
 
-function isAhead(peer: Progress, own: Progress): boolean {
+function isAhead(peer: SyncProgress, own: SyncProgress): boolean {
   return (
     peer.configurationVersion > own.configurationVersion || peer.leafsRevision > own.leafsRevision
   );
--- a/knowledge/peer_catch_up_test.ts
+++ b/cluster_state/peer_catch_up_test.ts
@@ -3,13 +3,13 @@
 import type { Member } from "../model/mod.js";
 import { sampleMember } from "../standins/sample_member.js";
 import { PeerCatchUp } from "./peer_catch_up.js";
-import { encodeShared } from "./shared_knowledge.js";
+import { encodeSharedState } from "./shared_state.js";
 
 const LOOPBACK = "127.0.0.1";
 
 /** A box that is ahead: it hands over a list of leafs as of revision 7. */
 async function startPeer(t: Test): Promise<Member> {
-  const shared = encodeShared({ leafs: [], lapsed: [], leafsRevision: 7 });
+  const shared = encodeSharedState({ leafs: [], lapsed: [], leafsRevision: 7 });
   const server: Server = createServer((_request, response) => response.end(shared));
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
@@ -35,18 +35,18 @@
   await new Promise<void>((resolve) => {
     const catchUp = new PeerCatchUp({
       box: "self",
-      knowledge: {
+      clusterState: {
         ...{ isWatcher, isStoreReachable },
         progress: { configurationVersion: 1, leafsRevision: 5 },
-        takeOver: ({ leafsRevision }) => {
+        mergeSharedState: ({ leafsRevision }) => {
           happened.push(`took over ${leafsRevision}`);
         },
       },
-      isNear: () => isNear,
-      onFarNews: () => happened.push("told the boxes near"),
+      isLocal: () => isNear,
+      onRemoteUpdate: () => happened.push("told the boxes near"),
       telemetry: { event: () => setImmediate(resolve) },
     });
-    catchUp.compare(peer, { configurationVersion: 1, leafsRevision: 7 });
+    catchUp.catchUp(peer, { configurationVersion: 1, leafsRevision: 7 });
   });
   return happened;
 }
@@ -82,17 +82,17 @@
   await new Promise<void>((resolve) => {
     const catchUp = new PeerCatchUp({
       box: "self",
-      knowledge: {
+      clusterState: {
         ...{ isWatcher: false, isStoreReachable: true },
         get progress() {
           return { configurationVersion: 1, leafsRevision };
         },
-        takeOver: (shared) => {
+        mergeSharedState: (shared) => {
           leafsRevision = shared.leafsRevision;
         },
       },
-      isNear: () => true,
-      onFarNews: () => undefined,
+      isLocal: () => true,
+      onRemoteUpdate: () => undefined,
       telemetry: {
         event: (_level, _message, fields) => {
           from.push(String(fields?.member));
@@ -102,8 +102,8 @@
         },
       },
     });
-    catchUp.compare({ ...first, box: "first" }, { configurationVersion: 1, leafsRevision: 6 });
-    catchUp.compare({ ...second, box: "second" }, { configurationVersion: 1, leafsRevision: 9 });
+    catchUp.catchUp({ ...first, box: "first" }, { configurationVersion: 1, leafsRevision: 6 });
+    catchUp.catchUp({ ...second, box: "second" }, { configurationVersion: 1, leafsRevision: 9 });
   });
   t.same(from, ["first", "second"]);
 });
--- a/knowledge/quarantine_archive.ts
+++ b/cluster_state/quarantine_archive.ts
@@ -5,12 +5,17 @@
  * @module
  */
 import {
-  decodeQuarantine,
-  encodeQuarantine,
+  decodeQuarantineEntry,
+  encodeQuarantineEntry,
   QUARANTINE_KIND,
   type StoreClient,
 } from "../platform/mod.js";
-import { type CrashRecord, KEPT_MS, type ReportedCrashes, tellRecord } from "../quarantine/mod.js";
+import {
+  type CrashRecord,
+  RETENTION_MS,
+  type ReportedCrashes,
+  toReportedCrashes,
+} from "../quarantine/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
 /** Time after the start in which a box learns of the others, in milliseconds. */
@@ -29,7 +34,7 @@
   /** The time of day, in milliseconds since the epoch. */
   readonly nowEpochMs: () => number;
   /** Told what was found. */
-  readonly onFound: (told: ReadonlyArray<ReportedCrashes>) => void;
+  readonly onLoaded: (told: ReadonlyArray<ReportedCrashes>) => void;
   readonly telemetry: Pick<BoxTelemetry, "event">;
 }
 
@@ -51,7 +56,7 @@
    *
    * @param isReader - Tells then whether this box is to read; the others are told by those that do.
    */
-  loadSoon(isReader: () => boolean): void {
+  scheduleLoad(isReader: () => boolean): void {
     this.#timer = setTimeout(() => {
       if (isReader()) {
         void this.load();
@@ -68,9 +73,9 @@
       }
       const nowEpochMs = this.#options.nowEpochMs();
       const told = listed.value.objects.flatMap(({ name, spec }) => {
-        return decodeQuarantine(name, spec, nowEpochMs) ?? [];
+        return decodeQuarantineEntry(name, spec, nowEpochMs) ?? [];
       });
-      this.#options.onFound(told);
+      this.#options.onLoaded(told);
       await this.#removeOld(told);
       return undefined;
     });
@@ -82,7 +87,7 @@
    * @param record - What is believed now.
    * @param before - What was believed, if anything.
    */
-  async note(record: CrashRecord, before: CrashRecord | undefined): Promise<void> {
+  async recordChange(record: CrashRecord, before: CrashRecord | undefined): Promise<void> {
     const { fingerprint, standing } = record;
     if (standing === before?.standing) {
       return;
@@ -99,7 +104,7 @@
    *
    * @param records - What is believed of all queries.
    */
-  async keepAgain(records: ReadonlyArray<CrashRecord>): Promise<void> {
+  async rewrite(records: ReadonlyArray<CrashRecord>): Promise<void> {
     for (const record of records.filter(({ standing }) => standing === "quarantined")) {
       await this.#untilDone("keep again", () => this.#create(record));
     }
@@ -113,7 +118,7 @@
 
   async #create(record: CrashRecord): Promise<string | undefined> {
     const { nowMs, nowEpochMs, store } = this.#options;
-    const entry = encodeQuarantine(tellRecord(record, nowMs()), nowEpochMs());
+    const entry = encodeQuarantineEntry(toReportedCrashes(record, nowMs()), nowEpochMs());
     const made = await store.create(QUARANTINE_KIND, record.fingerprint, entry);
     // A conflict says that it is there already.
     return made.isErr() && made.error.kind !== "conflict" ? made.error.message : undefined;
@@ -125,7 +130,7 @@
   }
 
   async #removeOld(told: ReadonlyArray<ReportedCrashes>): Promise<void> {
-    const old = told.filter(({ changedAgoMs }) => changedAgoMs >= KEPT_MS.quarantined);
+    const old = told.filter(({ changedAgoMs }) => changedAgoMs >= RETENTION_MS.quarantined);
     for (const { fingerprint } of old) {
       await this.#remove(fingerprint);
     }
--- a/knowledge/quarantine_archive_test.ts
+++ b/cluster_state/quarantine_archive_test.ts
@@ -49,7 +49,7 @@
     },
     nowMs: () => 2_000,
     nowEpochMs: () => 1_700_000_000_000,
-    onFound: (told) => found.push(...told),
+    onLoaded: (told) => found.push(...told),
     telemetry: { event: (_level, sentence) => lines.push(sentence) },
   });
   return { archive, kept, found, lines };
@@ -57,7 +57,7 @@
 
 t.test("a query that is not sent any more is kept, and found by the next life", async (t) => {
   const { archive, found, kept } = setUp();
-  await archive.note(RECORD, { ...RECORD, standing: "suspected" });
+  await archive.recordChange(RECORD, { ...RECORD, standing: "suspected" });
   t.same(kept.get("f"), { lostLeafs: 4, lostTrials: 2, changedAtEpochMs: 1_699_999_999_500 });
   await archive.load();
   t.match(found, [{ fingerprint: "f", standing: "quarantined", lostLeafs: 4, changedAgoMs: 500 }]);
@@ -67,7 +67,7 @@
   const { archive, kept, lines } = setUp({ failures: 2 });
   // The archive's own timers let the process end.
   const alive = setInterval(() => undefined, 100);
-  await archive.note(RECORD, undefined);
+  await archive.recordChange(RECORD, undefined);
   clearInterval(alive);
   t.ok(kept.has("f"));
   t.same(lines, ["quarantine: store does not answer"]);
@@ -75,10 +75,10 @@
 
 t.test("a query that was cleared is removed; a suspect is not kept at all", async (t) => {
   const { archive, kept } = setUp();
-  await archive.note(RECORD, undefined);
-  await archive.note({ ...RECORD, standing: "cleared" }, RECORD);
+  await archive.recordChange(RECORD, undefined);
+  await archive.recordChange({ ...RECORD, standing: "cleared" }, RECORD);
   t.equal(kept.size, 0);
-  await archive.note({ ...RECORD, standing: "suspected" }, undefined);
+  await archive.recordChange({ ...RECORD, standing: "suspected" }, undefined);
   t.equal(kept.size, 0);
 });
 
--- a/knowledge/shared_knowledge.ts
+++ b/cluster_state/shared_state.ts
@@ -4,25 +4,25 @@
  * @module
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
-import type { Progress } from "../fleet/mod.js";
+import type { SyncProgress } from "../fleet/mod.js";
 import { applyLeafChanges, applyLeafList, type LeafTable } from "../leafs/mod.js";
 import type { Configuration } from "../routing/mod.js";
-import { isSharedKnowledge, type SharedKnowledge } from "./_shared_fields.js";
-import type { LeafNews } from "./leaf_news.js";
+import { isSharedState, type SharedState } from "./_shared_state_fields.js";
+import type { LeafChangeLog } from "./leaf_change_log.js";
 
-export type { LapsedLeaf, SharedKnowledge } from "./_shared_fields.js";
+export type { ExpiredLeaf, SharedState } from "./_shared_state_fields.js";
 
 /** Path at which peers hand over what they know. */
-export const KNOWLEDGE_PATH = "/peer/v1/knowledge";
+export const CLUSTER_STATE_PATH = "/peer/v1/knowledge";
 
 /** Largest answer taken, inflated, in bytes: far above a configuration and thousands of leafs. */
 const MAX_SHARED_BYTES = 64 * 1_048_576;
 
 /** What a box knows. */
-export interface KnownState {
+export interface ClusterStateSnapshot {
   readonly configuration: Configuration | undefined;
   readonly leafs: LeafTable;
-  readonly news: LeafNews;
+  readonly news: LeafChangeLog;
   readonly leafsRevision: number;
   readonly nowMs: number;
 }
@@ -34,12 +34,12 @@
  * @param progress - How far the peer is.
  * @returns What it takes over.
  */
-export function shareKnowledge(
-  { configuration, leafs, news, leafsRevision, nowMs }: KnownState,
-  progress: Progress,
-): SharedKnowledge {
+export function selectSharedState(
+  { configuration, leafs, news, leafsRevision, nowMs }: ClusterStateSnapshot,
+  progress: SyncProgress,
+): SharedState {
   const since = news.since(progress.leafsRevision);
-  const lapsed = [...leafs.dropAtMs].map(([leafId, atMs]) => ({ leafId, leftMs: atMs - nowMs }));
+  const lapsed = [...leafs.expiresAtMs].map(([leafId, atMs]) => ({ leafId, leftMs: atMs - nowMs }));
   const changed = since?.changed.flatMap((leafId) => leafs.byId.get(leafId) ?? []);
   const isNewer = (configuration?.version ?? 0) > progress.configurationVersion;
   return {
@@ -59,9 +59,9 @@
  * @param nowMs - The present moment.
  * @returns The table after that.
  */
-export function applyShared(
+export function applySharedState(
   table: LeafTable,
-  { leafs, removed, lapsed }: SharedKnowledge,
+  { leafs, removed, lapsed }: SharedState,
   nowMs: number,
 ): LeafTable {
   const atOnce = { nowMs, graceMs: 0 };
@@ -81,7 +81,7 @@
  * @param shared - What is handed over.
  * @returns Its bytes.
  */
-export function encodeShared(shared: SharedKnowledge): Buffer {
+export function encodeSharedState(shared: SharedState): Buffer {
   return deflateRawSync(JSON.stringify(shared));
 }
 
@@ -92,10 +92,10 @@
  * @returns What was handed over.
  * @throws Where the bytes are no such thing.
  */
-export function decodeShared(bytes: Buffer): SharedKnowledge {
+export function decodeSharedState(bytes: Buffer): SharedState {
   const text = inflateRawSync(bytes, { maxOutputLength: MAX_SHARED_BYTES }).toString("utf8");
   const data: unknown = JSON.parse(text);
-  if (!isSharedKnowledge(data)) {
+  if (!isSharedState(data)) {
     throw new Error("Cannot read what the peer handed over: not as agreed");
   }
   return data;
@@ -107,8 +107,8 @@
  * @param progress - How far this box is.
  * @returns Path and query.
  */
-export function knowledgeUrl({ configurationVersion, leafsRevision }: Progress): string {
-  return `${KNOWLEDGE_PATH}?configuration=${configurationVersion}&leafs=${leafsRevision}`;
+export function clusterStateUrl({ configurationVersion, leafsRevision }: SyncProgress): string {
+  return `${CLUSTER_STATE_PATH}?configuration=${configurationVersion}&leafs=${leafsRevision}`;
 }
 
 /**
@@ -117,7 +117,7 @@
  * @param url - Path and query.
  * @returns How far it is; nowhere where it does not say.
  */
-export function decodeKnowledgeUrl(url: string): Progress {
+export function decodeClusterStateUrl(url: string): SyncProgress {
   const query = new URLSearchParams(url.split("?")[1] ?? "");
   return {
     configurationVersion: Number(query.get("configuration") ?? 0) || 0,
--- a/knowledge/shared_knowledge_fuzz_test.ts
+++ b/cluster_state/shared_state_fuzz_test.ts
@@ -7,11 +7,11 @@
 import t from "tap";
 import { SAMPLE_LEAF } from "../standins/sample_leaf.js";
 import { spoiltValue } from "../standins/spoilt_value.js";
-import { decodeShared, encodeShared, type SharedKnowledge } from "./shared_knowledge.js";
+import { decodeSharedState, encodeSharedState, type SharedState } from "./shared_state.js";
 
 const TERMS = { repeatable: true, timeoutMs: 1_000, aimMs: 100, priorityRank: 1, maxAttempts: 2 };
 
-const SHARED: SharedKnowledge = {
+const SHARED: SharedState = {
   configuration: {
     version: 7,
     routes: [
@@ -59,7 +59,7 @@
 
 const LEAF_SHAPE = shapeOf(SAMPLE_LEAF);
 
-function isWhole({ configuration, lapsed, leafs, leafsRevision }: SharedKnowledge): boolean {
+function isWhole({ configuration, lapsed, leafs, leafsRevision }: SharedState): boolean {
   const areLeafs = leafs.every((leaf) => isOfShape(leaf, LEAF_SHAPE));
   const areRoutes = (configuration?.routes ?? []).every(({ homes, host, prefix }) => {
     return Array.isArray(homes) && typeof host === "string" && typeof prefix === "string";
@@ -71,7 +71,7 @@
 }
 
 t.test("what is handed over whole is taken over", async (t) => {
-  t.same(decodeShared(encodeShared(SHARED)), SHARED);
+  t.same(decodeSharedState(encodeSharedState(SHARED)), SHARED);
 });
 
 t.test("what is handed over is taken where each value is what it should be, or not", async (t) => {
@@ -79,7 +79,7 @@
   fc.assert(
     fc.property(spoiltValue(SHARED, 60), (data) => {
       try {
-        const shared = decodeShared(deflateRawSync(JSON.stringify(data)));
+        const shared = decodeSharedState(deflateRawSync(JSON.stringify(data)));
         taken += 1;
         return isWhole(shared);
       } catch (error) {
--- a/knowledge/store_health.ts
+++ b/cluster_state/store_health.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { BoxTelemetry } from "../telemetry/mod.js";
-import type { FailedCall, RegistryListener } from "./registry_watch.js";
+import type { FailedStoreCall, StoreWatchListener } from "./store_watch.js";
 
 /**
  * Time that a leaf's entry has to come back after an outage of the store, in milliseconds: entries
@@ -42,19 +42,19 @@
   }
 
   /** Whether the store can be heard. */
-  get isHeard(): boolean {
+  get isReachable(): boolean {
     return this.#lost.size === 0;
   }
 
   /** When news last came, from the store or as `noteHeard()` was told; minus infinity before. */
-  get heardAtMs(): number {
+  get lastUpdateAtMs(): number {
     return this.#heardAtMs;
   }
 
   /** Time that an entry which is gone has to come back, in milliseconds; 0 for none. */
   get graceMs(): number {
     const sinceReturnMs = this.#options.nowMs() - this.#regainedAtMs;
-    return !this.isHeard || sinceReturnMs < RETURN_MS ? REAPPEAR_MS : 0;
+    return !this.isReachable || sinceReturnMs < RETURN_MS ? REAPPEAR_MS : 0;
   }
 
   /**
@@ -69,12 +69,12 @@
   }
 
   /** Notes news that came by another way. */
-  noteHeard(): void {
+  recordUpdate(): void {
     this.#heardAtMs = this.#options.nowMs();
   }
 
   /** Says that the store is back: entries that it lacks have the usual time to come back. */
-  noteReturn(): void {
+  recordRecovery(): void {
     this.#regainedAtMs = this.#options.nowMs();
   }
 
@@ -97,19 +97,20 @@
    */
   listener(
     kind: string,
-    handlers: Pick<RegistryListener, "onList" | "onChanges">,
-  ): RegistryListener {
+    handlers: Pick<StoreWatchListener, "onList" | "onChanges">,
+  ): StoreWatchListener {
     const { telemetry, nowMs } = this.#options;
     return {
       ...handlers,
-      onHeard: () => {
-        this.noteHeard();
+      onAnswer: () => {
+        this.recordUpdate();
         this.#answeredAtMs.set(kind, nowMs());
         telemetry.storeAnswers.inc({ kind, outcome: "answered" });
       },
       onFailed: (failed) => this.#noteFailed(kind, failed),
-      onHistoryGone: () => telemetry.event("warn", "store: history gone, listing anew", { kind }),
-      onRegained: () => {
+      onHistoryCompacted: () =>
+        telemetry.event("warn", "store: history gone, listing anew", { kind }),
+      onRecovered: () => {
         this.#lost.delete(kind);
         this.#regainedAtMs = nowMs();
         telemetry.event("info", "store: regained", { kind });
@@ -117,7 +118,7 @@
     };
   }
 
-  #noteFailed(kind: string, { error, tookMs, failures }: FailedCall): void {
+  #noteFailed(kind: string, { error, tookMs, failures }: FailedStoreCall): void {
     const { telemetry } = this.#options;
     telemetry.storeAnswers.inc({ kind, outcome: error.kind });
     this.#lost.add(kind);
--- a/knowledge/store_health_test.ts
+++ b/cluster_state/store_health_test.ts
@@ -16,9 +16,9 @@
   const unused = { onList: () => undefined, onChanges: () => undefined };
   const leafs = health.listener("leafs", unused);
   const routes = health.listener("routes", unused);
-  leafs.onHeard();
+  leafs.onAnswer();
   nowMs += 4_000;
-  routes.onHeard();
+  routes.onAnswer();
   nowMs += 2_000;
   const error = { kind: "unclear", message: "no answer" } as const;
   leafs.onFailed({ error, tookMs: 6_000, failures: 1 });
@@ -35,6 +35,6 @@
       ["routes", 2_000],
     ],
   );
-  t.notOk(health.isHeard);
+  t.notOk(health.isReachable);
   t.same(counted.at(-1), { kind: "leafs", outcome: "unclear" });
 });
--- a/knowledge/registry_watch.ts
+++ b/cluster_state/store_watch.ts
@@ -5,12 +5,12 @@
  */
 import { nowMs } from "../clock/mod.js";
 import {
-  STORE_ANSWER_MS,
+  STORE_RESPONSE_TIMEOUT_MS,
   type StoreChanges,
   type StoreClient,
   type StoreError,
   type StoreList,
-  WATCH_ANSWER_MS,
+  WATCH_RESPONSE_TIMEOUT_MS,
 } from "../platform/mod.js";
 
 /**
@@ -52,17 +52,17 @@
  * so that it must be given up soon to find the store within 2 s; every fourth waits longer, in case
  * the store is slow.
  */
-const LOOK_ANSWERS_MS = [700, 700, 700, STORE_ANSWER_MS] as const;
+const LOOK_ANSWERS_MS = [700, 700, 700, STORE_RESPONSE_TIMEOUT_MS] as const;
 
 /** Longest pause before the next list, in milliseconds. */
 const MOST_LIST_PAUSE_MS = 250;
 
 /** What the length of a watch depends on. */
-export interface WatchTerms {
+export interface StoreWatchTerms {
   /** Time after the end of a disturbance from which a box must act in time again, in milliseconds. */
-  readonly soundAfterMs: number;
+  readonly recoveryDeadlineMs: number;
   /** Time in which a box must act on a change, in milliseconds. */
-  readonly newsDueMs: number;
+  readonly changeDeadlineMs: number;
 }
 
 /**
@@ -74,14 +74,17 @@
  * @param terms - What it depends on.
  * @returns The time, in milliseconds.
  */
-export function watchWaitMs({ soundAfterMs, newsDueMs }: WatchTerms): number {
+export function watchWaitMs({
+  recoveryDeadlineMs: soundAfterMs,
+  changeDeadlineMs: newsDueMs,
+}: StoreWatchTerms): number {
   const dueMs = Math.max(soundAfterMs, newsDueMs);
-  const mostMs = dueMs - WATCH_ANSWER_MS - BACKOFF_MS[0] - SLACK_MS;
+  const mostMs = dueMs - WATCH_RESPONSE_TIMEOUT_MS - BACKOFF_MS[0] - SLACK_MS;
   return Math.min(MOST_WAIT_MS, Math.max(LEAST_WAIT_MS, mostMs));
 }
 
 /** A call to the store that failed. */
-export interface FailedCall {
+export interface FailedStoreCall {
   readonly error: StoreError;
   /** Time from its beginning to its failure, in milliseconds: tells a call that waited from one refused. */
   readonly tookMs: number;
@@ -90,23 +93,23 @@
 }
 
 /** Where the news of a kind goes. */
-export interface RegistryListener {
+export interface StoreWatchListener {
   /** Told of all objects after a list. */
   onList(list: StoreList): void;
   /** Told of changes. */
   onChanges(changes: StoreChanges): void;
   /** Told with each answer of the store, also one without a change. */
-  onHeard(): void;
+  onAnswer(): void;
   /** Told when changes were missed, so that all is listed anew. */
-  onHistoryGone(): void;
+  onHistoryCompacted(): void;
   /** Told of each call that failed; after the first the store counts as lost. */
-  onFailed(failed: FailedCall): void;
+  onFailed(failed: FailedStoreCall): void;
   /** Told when the store can be heard again. */
-  onRegained(): void;
+  onRecovered(): void;
 }
 
 /** What is watched. */
-export interface RegistryWatchOptions {
+export interface StoreWatchOptions {
   readonly store: Pick<StoreClient, "list" | "watch">;
   readonly kind: string;
   /** Longest time that a watch waits for a change, in milliseconds. */
@@ -116,9 +119,9 @@
 }
 
 /** Watches one kind until it is stopped. */
-export class RegistryWatch {
-  readonly #options: RegistryWatchOptions;
-  readonly #listener: RegistryListener;
+export class StoreWatch {
+  readonly #options: StoreWatchOptions;
+  readonly #listener: StoreWatchListener;
   #stopped = false;
   #revision: number | undefined;
   #failures = 0;
@@ -132,7 +135,7 @@
    * @param options - What is watched.
    * @param listener - Where its news goes.
    */
-  constructor(options: RegistryWatchOptions, listener: RegistryListener) {
+  constructor(options: StoreWatchOptions, listener: StoreWatchListener) {
     this.#options = options;
     this.#listener = listener;
   }
@@ -201,13 +204,13 @@
     const sinceRevision = this.#revision ?? 0;
     const patience =
       this.#failures === 0
-        ? { waitMs, answerMs: WATCH_ANSWER_MS }
+        ? { waitMs, answerMs: WATCH_RESPONSE_TIMEOUT_MS }
         : { waitMs: LOOK_WAIT_MS, answerMs: this.#lookAnswerMs() - LOOK_WAIT_MS };
     const changes = await store.watch(kind, { sinceRevision, ...patience });
     if (changes.isErr()) {
       if (changes.error.kind === "historyGone") {
         this.#revision = undefined;
-        this.#listener.onHistoryGone();
+        this.#listener.onHistoryCompacted();
         return 0;
       }
       return this.#fail(changes.error);
@@ -223,7 +226,7 @@
   }
 
   #lookAnswerMs(): number {
-    return LOOK_ANSWERS_MS[this.#failures % LOOK_ANSWERS_MS.length] ?? STORE_ANSWER_MS;
+    return LOOK_ANSWERS_MS[this.#failures % LOOK_ANSWERS_MS.length] ?? STORE_RESPONSE_TIMEOUT_MS;
   }
 
   #fail(error: StoreError): number {
@@ -234,11 +237,11 @@
   }
 
   #recover(): void {
-    this.#listener.onHeard();
+    this.#listener.onAnswer();
     if (this.#failures > 0) {
       this.#failures = 0;
       this.#settledAtMs = nowMs() + SETTLE_MS;
-      this.#listener.onRegained();
+      this.#listener.onRecovered();
     }
   }
 }
--- a/knowledge/registry_return_test.ts
+++ b/cluster_state/store_watch_recovery_test.ts
@@ -17,8 +17,8 @@
 import fc from "fast-check";
 import { err, ok } from "neverthrow";
 import t from "tap";
-import { STORE_ANSWER_MS, type StoreClient, type StoreError } from "../platform/mod.js";
-import { RegistryWatch, watchWaitMs } from "./registry_watch.js";
+import { STORE_RESPONSE_TIMEOUT_MS, type StoreClient, type StoreError } from "../platform/mod.js";
+import { StoreWatch, watchWaitMs } from "./store_watch.js";
 
 type Store = Pick<StoreClient, "list" | "watch">;
 
@@ -38,7 +38,7 @@
   readonly changeAfterMs: number;
 }
 
-const TERMS = { soundAfterMs: 4_000, newsDueMs: 3_000 } as const;
+const TERMS = { recoveryDeadlineMs: 4_000, changeDeadlineMs: 3_000 } as const;
 const LOST: StoreError = { kind: "unclear", message: "no answer" };
 
 /** A store that goes by the virtual time, with one change after its silence. */
@@ -64,7 +64,7 @@
 
   async watch(
     _kind: string,
-    { waitMs, answerMs = STORE_ANSWER_MS }: { waitMs: number; answerMs?: number },
+    { waitMs, answerMs = STORE_RESPONSE_TIMEOUT_MS }: { waitMs: number; answerMs?: number },
   ): ReturnType<Store["watch"]> {
     const askedAtMs = this.nowMs;
     const { fromMs, losesAsked } = this.#silence;
@@ -89,14 +89,17 @@
 async function lateByMs(silence: Silence): Promise<number> {
   mock.timers.enable({ apis: ["setTimeout"] });
   const store = new SilentStore(silence);
-  const dueAtMs = Math.max(store.changeAtMs + TERMS.newsDueMs, store.endMs + TERMS.soundAfterMs);
+  const dueAtMs = Math.max(
+    store.changeAtMs + TERMS.changeDeadlineMs,
+    store.endMs + TERMS.recoveryDeadlineMs,
+  );
   let heardAtMs = Number.POSITIVE_INFINITY;
   const unused = (): void => undefined;
-  const watch = new RegistryWatch(
+  const watch = new StoreWatch(
     { store, kind: "routes", waitMs: watchWaitMs(TERMS), mayBeStale: false },
     {
-      ...{ onList: unused, onHeard: unused, onFailed: unused },
-      ...{ onHistoryGone: unused, onRegained: unused },
+      ...{ onList: unused, onAnswer: unused, onFailed: unused },
+      ...{ onHistoryCompacted: unused, onRecovered: unused },
       onChanges: () => {
         heardAtMs = Math.min(heardAtMs, store.nowMs);
       },
--- a/knowledge/registry_watch_test.ts
+++ b/cluster_state/store_watch_test.ts
@@ -1,8 +1,12 @@
 import fc from "fast-check";
 import { err, ok } from "neverthrow";
 import t from "tap";
-import { STORE_ANSWER_MS, type StoreClient, WATCH_ANSWER_MS } from "../platform/mod.js";
-import { RegistryWatch, watchWaitMs } from "./registry_watch.js";
+import {
+  STORE_RESPONSE_TIMEOUT_MS,
+  type StoreClient,
+  WATCH_RESPONSE_TIMEOUT_MS,
+} from "../platform/mod.js";
+import { StoreWatch, watchWaitMs } from "./store_watch.js";
 
 type Store = Pick<StoreClient, "list" | "watch">;
 
@@ -27,15 +31,15 @@
       return next ?? err({ kind: "unavailable", message: "the script has ended" });
     },
   };
-  const watch = new RegistryWatch(
+  const watch = new StoreWatch(
     { store, kind: "leafs", waitMs: 2_000, mayBeStale: true },
     {
       onList: () => heard.push("list"),
       onChanges: ({ revision }) => heard.push(`changes to ${revision}`),
-      onHeard: () => undefined,
-      onHistoryGone: () => heard.push("history gone"),
+      onAnswer: () => undefined,
+      onHistoryCompacted: () => heard.push("history gone"),
       onFailed: ({ failures }) => heard.push(failures === 1 ? "lost" : "not heard"),
-      onRegained: () => heard.push("regained"),
+      onRecovered: () => heard.push("regained"),
     },
   );
   await watch.run();
@@ -64,18 +68,20 @@
   fc.assert(
     fc.property(ms, ms, (soundAfterMs, newsDueMs) => {
       // It begins just before the silence, and the change comes just after.
-      const noticedAtMs = watchWaitMs({ soundAfterMs, newsDueMs }) + WATCH_ANSWER_MS;
+      const noticedAtMs =
+        watchWaitMs({ recoveryDeadlineMs: soundAfterMs, changeDeadlineMs: newsDueMs }) +
+        WATCH_RESPONSE_TIMEOUT_MS;
       return noticedAtMs < Math.max(soundAfterMs, newsDueMs);
     }),
   );
-  t.equal(watchWaitMs({ soundAfterMs: 4_000, newsDueMs: 3_000 }), 2_700);
+  t.equal(watchWaitMs({ recoveryDeadlineMs: 4_000, changeDeadlineMs: 3_000 }), 2_700);
 });
 
 t.test("a lost store is looked for by short calls, and now and then with more time", async (t) => {
   const { waited } = await runWatch([DOWN, DOWN, DOWN, DOWN, NOTHING, NOTHING]);
   const look = { waitMs: 100, answerMs: 600 };
-  const usual = { waitMs: 2_000, answerMs: WATCH_ANSWER_MS };
-  const long = { waitMs: 100, answerMs: STORE_ANSWER_MS - 100 };
+  const usual = { waitMs: 2_000, answerMs: WATCH_RESPONSE_TIMEOUT_MS };
+  const long = { waitMs: 100, answerMs: STORE_RESPONSE_TIMEOUT_MS - 100 };
   t.same(waited, [usual, look, look, long, look, usual]);
 });
 
@@ -100,11 +106,11 @@
       },
     };
     const silent = (): void => undefined;
-    const watch = new RegistryWatch(
+    const watch = new StoreWatch(
       { store, kind: "leafs", waitMs: 2_000, mayBeStale: true },
       {
-        ...{ onList: silent, onChanges: silent, onHeard: silent },
-        ...{ onHistoryGone: silent, onFailed: silent, onRegained: silent },
+        ...{ onList: silent, onChanges: silent, onAnswer: silent },
+        ...{ onHistoryCompacted: silent, onFailed: silent, onRecovered: silent },
       },
     );
     watch.pause();
@@ -130,13 +136,13 @@
     watch: async () => NOTHING,
   };
   const silent = (): void => undefined;
-  const watch = new RegistryWatch(
+  const watch = new StoreWatch(
     { store, kind: "leafs", waitMs: 2_000, mayBeStale: true },
     {
-      ...{ onList: silent, onChanges: silent, onHeard: silent },
-      ...{ onHistoryGone: silent, onFailed: silent, onRegained: silent },
+      ...{ onList: silent, onChanges: silent, onAnswer: silent },
+      ...{ onHistoryCompacted: silent, onFailed: silent, onRecovered: silent },
     },
   );
   await watch.run();
-  t.same(answersMs, [700, 700, 700, STORE_ANSWER_MS, 700]);
+  t.same(answersMs, [700, 700, 700, STORE_RESPONSE_TIMEOUT_MS, 700]);
 });
--- a/control/control.ts
+++ b/control/control.ts
@@ -10,7 +10,7 @@
  */
 import { andThen, countOne, logInfo, logWarn, step } from "../core/mod.js";
 import { lifecyclePhase } from "../lifecycle/mod.js";
-import { ageMembers } from "../membership/mod.js";
+import { expireMembers } from "../membership/mod.js";
 import type { Member } from "../model/mod.js";
 import type { ControlEffect, ControlEvent } from "./control_messages.js";
 import type { ControlState, ControlStep } from "./control_state.js";
@@ -91,7 +91,7 @@
 }
 
 function onTick(state: ControlState, { nowMs }: { readonly nowMs: number }): ControlStep {
-  const membership = ageMembers(state.membership, { nowMs });
+  const membership = expireMembers(state.membership, { nowMs });
   const ticked = { ...state, membership, ticks: state.ticks + 1 };
   const tick = {
     kind: "setTimer",
--- a/control/control_state.ts
+++ b/control/control_state.ts
@@ -8,9 +8,9 @@
 import { type Catalog, EMPTY_CATALOG } from "../catalog/mod.js";
 import type { Step } from "../core/mod.js";
 import { fnv1a } from "../hashing/mod.js";
-import { type Lifecycle, NEW_LIFECYCLE } from "../lifecycle/mod.js";
-import { type Membership, newMembership } from "../membership/mod.js";
-import { ADVICE_KEEP_MS, type Member } from "../model/mod.js";
+import { INITIAL_LIFECYCLE, type Lifecycle } from "../lifecycle/mod.js";
+import { createMembership, type Membership } from "../membership/mod.js";
+import { ADDRESS_LIST_TTL_MS, type Member } from "../model/mod.js";
 import type { ControlEffect, PeerAddress } from "./control_messages.js";
 
 /** Settings of the control slice. */
@@ -55,13 +55,13 @@
  */
 export function newControl(options: ControlOptions): ControlState {
   return {
-    membership: newMembership(options.self),
+    membership: createMembership(options.self),
     catalog: EMPTY_CATALOG,
-    lifecycle: NEW_LIFECYCLE,
+    lifecycle: INITIAL_LIFECYCLE,
     random: prand.xoroshiro128plus(fnv1a(options.self.incarnation)),
     fetching: ImmutableMap(),
     seeds: options.seeds,
-    adviceKeepMs: options.adviceKeepMs ?? ADVICE_KEEP_MS,
+    adviceKeepMs: options.adviceKeepMs ?? ADDRESS_LIST_TTL_MS,
     startedAtMs: Number.NEGATIVE_INFINITY,
     ticks: 0,
     watching: false,
--- a/control/exchanges.ts
+++ b/control/exchanges.ts
@@ -5,7 +5,7 @@
  */
 import type { Catalog } from "../catalog/mod.js";
 import { andThen, logInfo, logWarn, step } from "../core/mod.js";
-import { hearMembers, suspectMember } from "../membership/mod.js";
+import { mergeMembers, suspectMember } from "../membership/mod.js";
 import type { Member } from "../model/mod.js";
 import type {
   ControlEffect,
@@ -156,7 +156,7 @@
 }
 
 function hear(state: ControlState, exchange: Exchange, nowMs: number): ControlStep {
-  const { membership, changed } = hearMembers(
+  const { membership, changed } = mergeMembers(
     state.membership,
     [exchange.self, ...exchange.members],
     { nowMs },
--- a/control/intake.ts
+++ b/control/intake.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { adoptObjects, objectKey } from "../catalog/mod.js";
+import { applyObjects, objectKey } from "../catalog/mod.js";
 import { andThen, invariantBroken, logInfo, step } from "../core/mod.js";
 import type { BoxList, CatalogObject } from "../model/mod.js";
 import type { ControlEffect } from "./control_messages.js";
@@ -41,7 +41,7 @@
   objects: ReadonlyArray<CatalogObject>,
   { nowMs, source }: TakeInOptions,
 ): ControlStep {
-  const { catalog, adopted } = adoptObjects(state.catalog, objects);
+  const { catalog, adopted } = applyObjects(state.catalog, objects);
   if (adopted.length === 0) {
     return step(state);
   }
--- a/control/make_exchange.ts
+++ b/control/make_exchange.ts
@@ -6,7 +6,7 @@
 import prand from "pure-rand";
 import { objectKey } from "../catalog/mod.js";
 import { step } from "../core/mod.js";
-import { takeRiders } from "../membership/mod.js";
+import { selectPiggybackMembers } from "../membership/mod.js";
 import type { CatalogObject } from "../model/mod.js";
 import type { ControlEffect, Exchange, ObjectRevision, PeerAddress } from "./control_messages.js";
 import type { ControlState, ControlStep } from "./control_state.js";
@@ -78,11 +78,14 @@
   { nowMs, revisions, joining }: MakeExchangeOptions,
 ): readonly [Exchange, ControlState] {
   let random = state.random;
-  const { membership, riders } = takeRiders(state.membership, (count) => {
-    const [index, nextRandom] = prand.uniformIntDistribution(0, count - 1, random);
-    random = nextRandom;
-    return index;
-  });
+  const { membership, piggybackMembers: riders } = selectPiggybackMembers(
+    state.membership,
+    (count) => {
+      const [index, nextRandom] = prand.uniformIntDistribution(0, count - 1, random);
+      random = nextRandom;
+      return index;
+    },
+  );
   const exchange: Exchange = {
     self: membership.self,
     members: riders,
--- a/control/phases.ts
+++ b/control/phases.ts
@@ -5,7 +5,7 @@
  */
 import { andThen, logInfo, step } from "../core/mod.js";
 import { rendezvousRank } from "../hashing/mod.js";
-import { type LifecycleEvent, lifecyclePhase, moveLifecycle } from "../lifecycle/mod.js";
+import { type LifecycleEvent, lifecyclePhase, transitionLifecycle } from "../lifecycle/mod.js";
 import type { Member } from "../model/mod.js";
 import type { ControlEffect } from "./control_messages.js";
 import type { ControlState, ControlStep } from "./control_state.js";
@@ -80,7 +80,7 @@
  * @returns The step.
  */
 export function enterPhase(state: ControlState, type: LifecycleEvent["type"]): ControlStep {
-  const lifecycle = moveLifecycle(state.lifecycle, type);
+  const lifecycle = transitionLifecycle(state.lifecycle, type);
   const phase = lifecyclePhase(lifecycle);
   return step<ControlState, ControlEffect>(
     { ...state, lifecycle },
--- a/core/effects.ts
+++ b/core/effects.ts
@@ -22,7 +22,7 @@
   readonly kind: "log";
   readonly level: "info" | "warn" | "error";
   /** Part that speaks; the line's prefix. */
-  readonly part: string;
+  readonly component: string;
   /** One short sentence. */
   readonly message: string;
   readonly fields: Readonly<Record<string, unknown>>;
@@ -60,7 +60,7 @@
   message: string,
   fields: LogEffect["fields"] = {},
 ): LogEffect {
-  return { kind: "log", level: "info", part, message, fields };
+  return { kind: "log", level: "info", component: part, message, fields };
 }
 
 /**
@@ -76,7 +76,7 @@
   message: string,
   fields: LogEffect["fields"] = {},
 ): LogEffect {
-  return { kind: "log", level: "warn", part, message, fields };
+  return { kind: "log", level: "warn", component: part, message, fields };
 }
 
 /**
@@ -103,7 +103,7 @@
   fields: LogEffect["fields"],
 ): ReadonlyArray<TelemetryEffect> {
   return [
-    { kind: "log", level: "error", part: "invariant", message: `broke ${name}`, fields },
+    { kind: "log", level: "error", component: "invariant", message: `broke ${name}`, fields },
     countOne("invariant.broken", { name }),
   ];
 }
--- a/daemon/daemon_settings.ts
+++ b/daemon/daemon_settings.ts
@@ -26,8 +26,8 @@
     kind: "number",
     help: "Time callers may keep the list of entries, in milliseconds",
     fallback: "5000",
-    least: 0,
-    most: 3_600_000,
+    min: 0,
+    max: 3_600_000,
   },
   "log-level": {
     kind: "choice",
--- a/daemon/platform_watch.ts
+++ b/daemon/platform_watch.ts
@@ -5,7 +5,7 @@
  */
 import type { ControlEvent } from "../control/mod.js";
 import type { BoxList } from "../model/mod.js";
-import type { Changes, PlatformPort } from "../platform/mod.js";
+import type { CatalogChanges, PlatformPort } from "../platform/mod.js";
 
 /** Time a waiting call is held by the platform, in milliseconds. */
 const WATCH_MS = 2_000;
@@ -84,7 +84,7 @@
     return false;
   }
 
-  #tell(changes: Changes, boxList: BoxList | undefined): void {
+  #tell(changes: CatalogChanges, boxList: BoxList | undefined): void {
     // A store that was set back counts from a lower version; all is asked for again then.
     const wasSetBack = changes.version < this.#sinceVersion;
     this.#sinceVersion = wasSetBack ? 0 : changes.version;
--- a/entry/_core_harness.ts
+++ b/entry/_core_harness.ts
@@ -159,7 +159,7 @@
   /** Invariants that the core found broken. */
   get broken(): ReadonlyArray<string> {
     return this.effects.flatMap((effect) =>
-      effect.kind === "log" && effect.part === "invariant" ? [effect.message] : [],
+      effect.kind === "log" && effect.component === "invariant" ? [effect.message] : [],
     );
   }
 }
--- a/entry/admission.ts
+++ b/entry/admission.ts
@@ -8,7 +8,12 @@
 import { ANSWER_MARGIN_MS, type QueryAnswer, type QueryRequest } from "../model/mod.js";
 import type { PolicyDecision } from "../policy/mod.js";
 import { pinSnapshot } from "../query/mod.js";
-import { judgeTicket, noteRunning, type TicketPlace, type TicketVerdict } from "../tickets/mod.js";
+import {
+  checkTicket,
+  recordRunning,
+  type TicketDecision,
+  type TicketPosition,
+} from "../tickets/mod.js";
 import { refusal, unknownOutcome } from "./answers.js";
 import type { EntryEffect, EntryEvent } from "./entry_messages.js";
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
@@ -31,21 +36,21 @@
     return runOrRefuse(state, arrival, undefined);
   }
   const place = { ticket, sequence };
-  const verdict = judgeTicket(state.tickets, place, { nowMs: arrival.nowMs });
+  const verdict = checkTicket(state.tickets, place, { nowMs: arrival.nowMs });
   const handler = VERDICT_HANDLERS[verdict.kind];
   return handler(state, arrival, { verdict: verdict as never, place });
 }
 
 interface VerdictContext<Verdict> {
   readonly verdict: Verdict;
-  readonly place: TicketPlace;
+  readonly place: TicketPosition;
 }
 
 type VerdictHandlers = {
-  readonly [K in TicketVerdict["kind"]]: (
+  readonly [K in TicketDecision["kind"]]: (
     state: EntryState,
     arrival: Arrival,
-    context: VerdictContext<Extract<TicketVerdict, { readonly kind: K }>>,
+    context: VerdictContext<Extract<TicketDecision, { readonly kind: K }>>,
   ) => EntryStep;
 };
 
@@ -114,7 +119,7 @@
 function runOrRefuse(
   state: EntryState,
   arrival: Arrival,
-  ticketPlace: TicketPlace | undefined,
+  ticketPlace: TicketPosition | undefined,
 ): EntryStep {
   const { queryId, request, nowMs } = arrival;
   const verdict = judge(state, request, nowMs);
@@ -155,7 +160,7 @@
   const tickets =
     ticketPlace === undefined
       ? verdict.state.tickets
-      : noteRunning(verdict.state.tickets, ticketPlace, queryId);
+      : recordRunning(verdict.state.tickets, ticketPlace, queryId);
   const told = step<EntryState, EntryEffect>(
     { ...verdict.state, tickets },
     ...policyFailures(request, plan.decision),
--- a/entry/call_results.ts
+++ b/entry/call_results.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { countOne, step } from "../core/mod.js";
-import type { LackReason, Row } from "../model/mod.js";
+import type { MissingReason, Row } from "../model/mod.js";
 import { sendExtra } from "./attempts.js";
 import { chooseTarget, leafKey } from "./candidates.js";
 import type { CallResult, EntryEffect } from "./entry_messages.js";
@@ -139,7 +139,7 @@
 }
 
 interface EndAttemptOptions extends ResultContext {
-  readonly reason: LackReason;
+  readonly reason: MissingReason;
   readonly retryAfterMs: number;
   readonly notRun: boolean;
 }
--- a/entry/entry_core.ts
+++ b/entry/entry_core.ts
@@ -6,7 +6,7 @@
 import { fromTransition } from "xstate";
 import { type ControlOptions, isControlEvent, stepControl } from "../control/mod.js";
 import { andThen, type CoreEvent, forEachStep, step } from "../core/mod.js";
-import { lifecyclePhase, moveLifecycle } from "../lifecycle/mod.js";
+import { lifecyclePhase, transitionLifecycle } from "../lifecycle/mod.js";
 import { aliveMembers } from "../membership/mod.js";
 import type { Member } from "../model/mod.js";
 import { issueTicket } from "../tickets/mod.js";
@@ -146,7 +146,7 @@
   if (lifecyclePhase(control.lifecycle) !== "finishing" || !queries.isEmpty()) {
     return made;
   }
-  const lifecycle = moveLifecycle(control.lifecycle, "drained");
+  const lifecycle = transitionLifecycle(control.lifecycle, "drained");
   const stopped = { ...made.state, control: { ...control, lifecycle } };
   return { state: stopped, effects: [...made.effects, { kind: "stop" }] };
 }
--- a/entry/entry_messages.ts
+++ b/entry/entry_messages.ts
@@ -5,7 +5,7 @@
  */
 import type { ControlEffect, ControlEvent, ControlTimer } from "../control/mod.js";
 import type { ClearTimerEffect, SetTimerEffect, TelemetryEffect } from "../core/mod.js";
-import type { LackReason, Member, QueryAnswer, QueryRequest } from "../model/mod.js";
+import type { Member, MissingReason, QueryAnswer, QueryRequest } from "../model/mod.js";
 
 /** A call to a leaf as it goes to the pool that owns it. */
 export interface LeafCall {
@@ -36,14 +36,14 @@
       /** Refused before it ran, or known not to have been sent. */
       readonly kind: "refused";
       readonly callId: string;
-      readonly reason: LackReason;
+      readonly reason: MissingReason;
       readonly retryAfterMs: number;
     }
   | {
       /** It may have run. */
       readonly kind: "failed";
       readonly callId: string;
-      readonly reason: LackReason;
+      readonly reason: MissingReason;
     };
 
 /** How a pool sees one of its leafs. */
--- a/entry/entry_shell.ts
+++ b/entry/entry_shell.ts
@@ -22,7 +22,7 @@
 import { lifecyclePhase } from "../lifecycle/mod.js";
 import { MAX_BODY_BYTES, parseQueryRequest, type QueryAnswer } from "../model/mod.js";
 import { listenForPeers, PEER_ANSWER_MS } from "../peer/mod.js";
-import { platformClient } from "../platform/mod.js";
+import { createPlatformClient } from "../platform/mod.js";
 import type { SettingSpecs, Settings } from "../settings/mod.js";
 import { startTelemetry } from "../telemetry/mod.js";
 import { forwardQuery, isForwarded, type WaitingCaller } from "./_forwarding.js";
@@ -70,7 +70,7 @@
   { onEnd }: { readonly onEnd: () => void },
 ): Promise<EntryDaemon> {
   const telemetry = startTelemetry(telemetryOptions("rackvale-entry", settings));
-  const platform = platformClient(settings.platform);
+  const platform = createPlatformClient(settings.platform);
   const callers = new Map<string, WaitingCaller>();
   const tickets = new PendingReplies<string>();
   const loans = new PendingReplies<number>();
--- a/entry/entry_state.ts
+++ b/entry/entry_state.ts
@@ -8,10 +8,10 @@
 import type { Step } from "../core/mod.js";
 import type { QuantileEstimate } from "../latency/mod.js";
 import type { ExtraLoadBudget, LimitShare, TokenBucket } from "../limits/mod.js";
-import type { LackReason, QueryRequest } from "../model/mod.js";
+import type { MissingReason, QueryRequest } from "../model/mod.js";
 import type { Placement } from "../policy/mod.js";
 import type { SnapshotGroup } from "../query/mod.js";
-import { newTickets, type TicketPlace, type Tickets } from "../tickets/mod.js";
+import { createTicketRegistry, type TicketPosition, type TicketRegistry } from "../tickets/mod.js";
 import type { EntryEffect } from "./entry_messages.js";
 import type { LeafView } from "./leaf_view.js";
 
@@ -52,7 +52,7 @@
   readonly attempts: ReadonlyArray<Attempt>;
   readonly startedAtMs: number;
   /** Why the last attempt brought nothing. */
-  readonly lastReason: LackReason;
+  readonly lastReason: MissingReason;
   readonly lastRetryAfterMs: number;
 }
 
@@ -78,7 +78,7 @@
   readonly retryAfterMs: number;
   /** Whether a part of the query is known to have run or may have. */
   readonly mayHaveRun: boolean;
-  readonly ticketPlace: TicketPlace | undefined;
+  readonly ticketPlace: TicketPosition | undefined;
   /** All that an identical query must have in common; empty when it may not be joined. */
   readonly joinKey: string;
   readonly joinHash: number;
@@ -114,7 +114,7 @@
   readonly waitingIds: ReadonlyArray<string>;
   /** Mean time from start to answer by service, in milliseconds. */
   readonly queryTimes: ImmutableMap<string, number>;
-  readonly tickets: Tickets;
+  readonly tickets: TicketRegistry;
   /** Counts fetches and calls; never reused within an incarnation. */
   readonly nextId: number;
 }
@@ -148,7 +148,7 @@
     urgentInFlight: 0,
     waitingIds: [],
     queryTimes: ImmutableMap(),
-    tickets: newTickets(options.self.incarnation),
+    tickets: createTicketRegistry(options.self.incarnation),
     nextId: 1,
   };
 }
--- a/entry/finish_query.ts
+++ b/entry/finish_query.ts
@@ -12,16 +12,16 @@
   step,
   type TelemetryEffect,
 } from "../core/mod.js";
-import { updateSteadyMean } from "../latency/mod.js";
+import { updateClampedMean } from "../latency/mod.js";
 import type { QueryAnswer } from "../model/mod.js";
 import {
-  coveredShare,
+  coverageRatio,
   type GroupSummary,
   type SnapshotGroup,
   type SummariseOptions,
   summariseGroup,
 } from "../query/mod.js";
-import { noteFinished } from "../tickets/mod.js";
+import { recordFinished } from "../tickets/mod.js";
 import { summaryAnswer, unknownOutcome } from "./answers.js";
 import type { EntryEffect } from "./entry_messages.js";
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
@@ -96,7 +96,7 @@
 
 function bestGroup(query: Query): SnapshotGroup {
   const { group, earlierGroup } = query;
-  return earlierGroup !== undefined && coveredShare(earlierGroup) > coveredShare(group)
+  return earlierGroup !== undefined && coverageRatio(earlierGroup) > coverageRatio(group)
     ? earlierGroup
     : group;
 }
@@ -134,7 +134,7 @@
 /** Learns how long queries take, for those that wait. */
 function noteTime(state: EntryState, { request, startedAtMs }: Query, nowMs: number): EntryState {
   const { service } = request;
-  const meanMs = updateSteadyMean(state.queryTimes.get(service) ?? 0, nowMs - startedAtMs, {
+  const meanMs = updateClampedMean(state.queryTimes.get(service) ?? 0, nowMs - startedAtMs, {
     outlierFactor: OUTLIER_FACTOR,
   });
   return startedAtMs === 0
@@ -145,7 +145,7 @@
 function rememberAnswer(state: EntryState, query: Query, answer: QueryAnswer): EntryState {
   return query.ticketPlace === undefined
     ? state
-    : { ...state, tickets: noteFinished(state.tickets, query.ticketPlace, answer) };
+    : { ...state, tickets: recordFinished(state.tickets, query.ticketPlace, answer) };
 }
 
 function answerLog(query: Query, answer: QueryAnswer, nowMs: number): TelemetryEffect {
--- a/entry/judge_query.ts
+++ b/entry/judge_query.ts
@@ -9,7 +9,7 @@
 import { lifecyclePhase } from "../lifecycle/mod.js";
 import { msUntilToken, refill } from "../limits/mod.js";
 import {
-  ADVICE_KEEP_MS,
+  ADDRESS_LIST_TTL_MS,
   ANSWER_MARGIN_MS,
   type QueryRequest,
   type ShardMap,
@@ -69,7 +69,7 @@
   }
   if (isIsolated(state.control, nowMs)) {
     const message = "Cannot run the query: this box hears no other and not the platform";
-    return refuse(state, 503, message, { retryAfterMs: ADVICE_KEEP_MS });
+    return refuse(state, 503, message, { retryAfterMs: ADDRESS_LIST_TTL_MS });
   }
   const service = state.control.catalog.services.get(request.service);
   if (service === undefined) {
@@ -169,7 +169,7 @@
 function takeCallerToken(
   state: EntryState,
   request: QueryRequest,
-  { callerPerSecond }: PolicyDecision,
+  { callerRequestsPerSecond: callerPerSecond }: PolicyDecision,
   nowMs: number,
 ): Taken {
   if (callerPerSecond <= 0) {
@@ -177,7 +177,7 @@
   }
   const key = `${request.service} ${request.caller}`;
   const rate = { perSecond: callerPerSecond, burst: Math.max(1, callerPerSecond) };
-  const held = state.callerBuckets.get(key) ?? { tokens: rate.burst, countedAtMs: nowMs };
+  const held = state.callerBuckets.get(key) ?? { tokens: rate.burst, updatedAtMs: nowMs };
   const bucket = refill(held, rate, { nowMs });
   const waitMs = msUntilToken(bucket, rate);
   const left = waitMs > 0 ? bucket : { ...bucket, tokens: bucket.tokens - 1 };
@@ -196,7 +196,7 @@
  */
 export function forgetCallers(state: EntryState, nowMs: number): EntryState {
   const callerBuckets = state.callerBuckets.filter((bucket) => {
-    return nowMs - bucket.countedAtMs < CALLER_IDLE_MS;
+    return nowMs - bucket.updatedAtMs < CALLER_IDLE_MS;
   });
   return callerBuckets.size === state.callerBuckets.size ? state : { ...state, callerBuckets };
 }
--- a/entry/queries.ts
+++ b/entry/queries.ts
@@ -5,7 +5,7 @@
  */
 import { Map as ImmutableMap } from "immutable";
 import { andThen, forEachStep, logInfo, step } from "../core/mod.js";
-import { coveredShare, isSettled, pinSnapshot, settleShard } from "../query/mod.js";
+import { coverageRatio, isSettled, pinSnapshot, settleShard } from "../query/mod.js";
 import type { EntryEffect } from "./entry_messages.js";
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
 import type { SettledFetch } from "./fetches.js";
@@ -108,7 +108,7 @@
       ? replan(state, query, nowMs)
       : finishQuery(state, query, { unsettledReason: "deadline", nowMs });
   }
-  return coveredShare(query.group) >= query.finishCoverage
+  return coverageRatio(query.group) >= query.finishCoverage
     ? finishQuery(state, query, { unsettledReason: "early finish", nowMs })
     : step(state);
 }
--- a/entry/service_limit.ts
+++ b/entry/service_limit.ts
@@ -85,10 +85,12 @@
   if (lender === undefined) {
     return step(state);
   }
-  const short = state.serviceShares.filter((share) => share.unmet > 0 && !share.borrowing);
-  const asking = short.map((share) => ({ ...share, borrowing: true, unmet: 0 }));
+  const short = state.serviceShares.filter(
+    (share) => share.refusedSinceLoan > 0 && !share.borrowing,
+  );
+  const asking = short.map((share) => ({ ...share, borrowing: true, refusedSinceLoan: 0 }));
   const borrows = [...short].map(([service, share]) => {
-    return { kind: "borrow", lender, service, tokens: share.unmet } as const;
+    return { kind: "borrow", lender, service, tokens: share.refusedSinceLoan } as const;
   });
   const serviceShares = state.serviceShares.merge(asking);
   return step<EntryState, EntryEffect>({ ...state, serviceShares }, ...borrows);
--- a/extra_calls/extra_call_budgets.ts
+++ b/extra_calls/extra_call_budgets.ts
@@ -10,7 +10,7 @@
  * @module
  */
 import type { ExtraCallKind } from "../limits/mod.js";
-import { SlidingCount } from "./sliding_count.js";
+import { SlidingWindowCounter } from "./sliding_window_counter.js";
 
 /** Part of the allowed share that is spent; the rest is kept in hand for requests counted elsewhere. */
 const SHARE_USED = 0.9;
@@ -46,8 +46,8 @@
 
 /** Requests and extra calls of one service within the window. */
 interface ServiceCounts {
-  readonly requests: SlidingCount;
-  readonly extra: SlidingCount;
+  readonly requests: SlidingWindowCounter;
+  readonly extra: SlidingWindowCounter;
 }
 
 /** Budgets of all services. */
@@ -82,7 +82,7 @@
    * @param kind - What the call is for.
    * @returns Whether the budget allows it.
    */
-  take(service: string, kind: ExtraCallKind): boolean {
+  tryTake(service: string, kind: ExtraCallKind): boolean {
     const nowMs = this.#terms.nowMs();
     const counts = this.#countsOf(service);
     const spent = counts.extra.count(nowMs);
@@ -99,15 +99,15 @@
    * @param service - The service.
    * @returns The calls, less than 0 where the budget has shrunk since.
    */
-  leftFor(service: string): number {
+  remaining(service: string): number {
     const nowMs = this.#terms.nowMs();
     const counts = this.#countsOf(service);
     return this.#allowed(counts, nowMs) - counts.extra.count(nowMs);
   }
 
   /** Extra calls that each service's budget allows at this moment. */
-  left(): ReadonlyMap<string, number> {
-    return new Map([...this.#counts.keys()].map((service) => [service, this.leftFor(service)]));
+  remainingByService(): ReadonlyMap<string, number> {
+    return new Map([...this.#counts.keys()].map((service) => [service, this.remaining(service)]));
   }
 
   #allowed({ requests }: ServiceCounts, nowMs: number): number {
@@ -124,8 +124,8 @@
       return held;
     }
     const counts = {
-      requests: new SlidingCount(this.#countedMs),
-      extra: new SlidingCount(this.#countedMs),
+      requests: new SlidingWindowCounter(this.#countedMs),
+      extra: new SlidingWindowCounter(this.#countedMs),
     };
     this.#counts.set(service, counts);
     return counts;
--- a/extra_calls/extra_call_budgets_test.ts
+++ b/extra_calls/extra_call_budgets_test.ts
@@ -42,7 +42,7 @@
         if (!isExtra) {
           budgets[box]?.credit("s");
           requests.push(nowMs);
-        } else if (budgets[box]?.take("s", "retry") === true) {
+        } else if (budgets[box]?.tryTake("s", "retry") === true) {
           extra.push(nowMs);
         }
         const allowed = SHARE * countWithin(requests, nowMs) + SLACK_CALLS;
@@ -62,19 +62,19 @@
     nowMs += 150;
   }
   let taken = 0;
-  while (only?.take("s", "retry")) {
+  while (only?.tryTake("s", "retry")) {
     taken += 1;
   }
   t.ok(taken > 15, `${taken} calls in a row`);
   nowMs += 2 * WINDOW_MS;
-  t.ok(only?.take("s", "retry"), "and again in a later window");
+  t.ok(only?.tryTake("s", "retry"), "and again in a later window");
 });
 
 /** Spends all that budgets allow; tells how many calls that were. */
 function spend(budgets: ReadonlyArray<ExtraCallBudgets>): number {
   let extra = 0;
   for (const each of budgets) {
-    while (each.take("s", "retry")) {
+    while (each.tryTake("s", "retry")) {
       extra += 1;
     }
   }
@@ -99,8 +99,8 @@
 
 t.test("hedges leave retries some of the budget", async (t) => {
   const [only] = budgetsOf(1);
-  while (only?.take("s", "hedge")) {
+  while (only?.tryTake("s", "hedge")) {
     // Takes all that hedges may have.
   }
-  t.ok(only?.take("s", "retry"));
+  t.ok(only?.tryTake("s", "retry"));
 });
--- a/extra_calls/mod.ts
+++ b/extra_calls/mod.ts
@@ -4,4 +4,4 @@
  * @module
  */
 export * from "./extra_call_budgets.js";
-export * from "./sliding_count.js";
+export * from "./sliding_window_counter.js";
--- a/extra_calls/sliding_count.ts
+++ b/extra_calls/sliding_window_counter.ts
@@ -8,7 +8,7 @@
 const PARTS = 20;
 
 /** A count over a window that moves on with time. */
-export class SlidingCount {
+export class SlidingWindowCounter {
   readonly #counts = new Array<number>(PARTS + 1).fill(0);
   readonly #partMs: number;
   #part = 0;
--- a/extra_calls/sliding_count_test.ts
+++ b/extra_calls/sliding_window_counter_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import t from "tap";
-import { SlidingCount } from "./sliding_count.js";
+import { SlidingWindowCounter } from "./sliding_window_counter.js";
 
 const WINDOW_MS = 1_000;
 
@@ -8,7 +8,7 @@
   const gaps = fc.array(fc.nat(300), { minLength: 1, maxLength: 60 });
   fc.assert(
     fc.property(gaps, (afterMs) => {
-      const counted = new SlidingCount(WINDOW_MS);
+      const counted = new SlidingWindowCounter(WINDOW_MS);
       const moments: Array<number> = [];
       let nowMs = 0;
       return afterMs.every((gapMs) => {
@@ -26,7 +26,7 @@
 });
 
 t.test("a sliding count forgets all after a long while", async (t) => {
-  const counted = new SlidingCount(WINDOW_MS);
+  const counted = new SlidingWindowCounter(WINDOW_MS);
   counted.add(10);
   t.equal(counted.count(50_000), 0);
 });
--- a/fault_soak/fault_handlers.ts
+++ b/fault_soak/fault_handlers.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { STRANGE_ENTRIES } from "../platform/standin/mod.js";
+import { MALFORMED_ENTRIES } from "../platform/standin/mod.js";
 import { pause } from "../standins/waiting.js";
 import type { FaultKind, PlannedFault } from "./fault_plan.js";
 import { ENDS_LEAFS, HOST, type SoakBox, type SoakFleet, type SoakLeaf } from "./soak_fleet.js";
@@ -72,14 +72,14 @@
   }),
   leafConnectionsSilent: onLeaf(async ({ link }) => link.silence()),
   leafFull: onLeaf(async ({ leaf }, forMs) => {
-    leaf.change({ full: true });
+    leaf.configure({ full: true });
     await pause(forMs);
-    leaf.change({ full: false });
+    leaf.configure({ full: false });
   }),
   leafFails: onLeaf(async ({ leaf }, forMs) => {
-    leaf.change({ statusCode: 500 });
+    leaf.configure({ statusCode: 500 });
     await pause(forMs);
-    leaf.change({ statusCode: 200 });
+    leaf.configure({ statusCode: 200 });
   }),
   leafReplaced: async (soak, { target }) => {
     const old = pick(
@@ -112,11 +112,11 @@
     return true;
   },
   strangeEntries: async ({ fleet }, { target, forMs }) => {
-    for (const [index, spec] of STRANGE_ENTRIES.entries()) {
+    for (const [index, spec] of MALFORMED_ENTRIES.entries()) {
       fleet.platform.put("servers", `strange-${target}-${index}`, spec);
     }
     await pause(forMs);
-    for (const index of STRANGE_ENTRIES.keys()) {
+    for (const index of MALFORMED_ENTRIES.keys()) {
       fleet.platform.remove("servers", `strange-${target}-${index}`);
     }
     return true;
@@ -126,7 +126,7 @@
     for (let round = 1; round <= CRASHING_ROUNDS; round++) {
       for (const [index, { box }] of boxes.entries()) {
         const requestId = `crashing-${target}-${round}-${index}`;
-        await fleet.ask(box, { path, requestId, host: HOST }).catch(() => undefined);
+        await fleet.sendRequest(box, { path, requestId, host: HOST }).catch(() => undefined);
       }
       await pause(forMs);
     }
--- a/fault_soak/main.ts
+++ b/fault_soak/main.ts
@@ -4,15 +4,15 @@
  *
  * @module
  */
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import { runFaultSoak } from "./run_fault_soak.js";
 
 const USAGE = "Usage: npm run fault-soak -- --seed N --runs N --seconds N --boxes N";
 
-const { settings } = settingsOrExit(USAGE, {
+const { settings } = parseSettingsOrExit(USAGE, {
   seed: { kind: "number", help: "Seed of the first run", fallback: "1" },
   runs: { kind: "number", help: "Runs, each with the next seed", fallback: "1" },
-  boxes: { kind: "number", help: "Boxes, each a process", fallback: "4", least: 2, most: 250 },
+  boxes: { kind: "number", help: "Boxes, each a process", fallback: "4", min: 2, max: 250 },
   seconds: { kind: "number", help: "Time in which faults begin, for each run", fallback: "15" },
 });
 
--- a/fault_soak/promises.ts
+++ b/fault_soak/promises.ts
@@ -7,9 +7,9 @@
 
 import {
   type CallerResponse,
-  type SeenSignature,
-  seenParts,
-  seenSignature,
+  type LeafSignature,
+  parseLeafSignature,
+  parsePartHeaders,
   serviceRecords,
 } from "../platform/standin/mod.js";
 import { type Disturbance, isDisturbed, newsDueAtMs } from "./disturbance.js";
@@ -114,7 +114,7 @@
   }
 
   #judgeSweep(requestId: string, response: CallerResponse): void {
-    const { signatures, missingParts } = seenParts(response);
+    const { signatures, missingParts } = parsePartHeaders(response);
     const services = signatures.map((signature) => this.#serviceOf(signature, requestId));
     this.#check(
       "an answer names parts of this request, each shard once",
@@ -135,13 +135,13 @@
   }
 
   #judgeSingle(requestId: string, response: CallerResponse): void {
-    const service = this.#serviceOf(seenSignature(response), requestId);
+    const service = this.#serviceOf(parseLeafSignature(response), requestId);
     const isOwn = response.body.equals(serviceRecords(LEDGER, RECORDS.perLeaf));
     const isWhole = service === LEDGER && isOwn;
     this.#check("an answer is the leaf's own, whole", isWhole, () => requestId);
   }
 
-  #serviceOf(signature: SeenSignature, requestId: string): string | undefined {
+  #serviceOf(signature: LeafSignature, requestId: string): string | undefined {
     const found = this.#soak.allLeafs.find(({ leaf }) => leaf.leafId === signature.leafId);
     return signature.requestId === requestId ? found?.service : undefined;
   }
--- a/fault_soak/soak_callers.ts
+++ b/fault_soak/soak_callers.ts
@@ -68,7 +68,7 @@
     const sentAtMs = performance.now();
     const method = path === `/${LEDGER}/` ? "POST" : "GET";
     const request = { path, requestId, method, host: HOST, deadlineMs: DEADLINE_MS } as const;
-    const response = await this.#soak.fleet.ask(box.box, request).catch(() => undefined);
+    const response = await this.#soak.fleet.sendRequest(box.box, request).catch(() => undefined);
     // A process that a kill or a pause hit as well is not held to what a planned stop promises.
     const duringStop = box.isStopping && box.life === life;
     this.#promises.see({ requestId, path, box, life, sentAtMs, duringStop, response });
--- a/fault_soak/soak_fleet.ts
+++ b/fault_soak/soak_fleet.ts
@@ -6,11 +6,11 @@
  */
 import {
   BoxFleet,
+  type DataCentreName,
   type OperatorConfiguration,
   type PlatformBox,
   type RecordLeafStandin,
-  standinConfiguration,
-  type ZoneName,
+  toOperatorConfiguration,
 } from "../platform/standin/mod.js";
 import { LinkProxy } from "./link_proxy.js";
 
@@ -34,7 +34,7 @@
 
 /** A time in which a data centre was to be empty, on this process's clock. */
 export interface Evacuation {
-  readonly dataCentre: ZoneName;
+  readonly dataCentre: DataCentreName;
   readonly fromMs: number;
   untilMs: number;
 }
@@ -45,14 +45,14 @@
 /** Share of the shards without which a gathered answer is no success. */
 const LEAST_SHARE = 0.5;
 
-const LEAF_ZONES: ReadonlyArray<ZoneName> = ["hall-a", "hall-b"];
+const LEAF_ZONES: ReadonlyArray<DataCentreName> = ["hall-a", "hall-b"];
 /** Where one box after the other stands. */
-const BOX_ZONES: ReadonlyArray<ZoneName> = ["hall-a", "hall-a", "hall-b", "hall-b"];
+const BOX_ZONES: ReadonlyArray<DataCentreName> = ["hall-a", "hall-a", "hall-b", "hall-b"];
 
 /** A leaf with the proxy before it. */
 export interface SoakLeaf {
   readonly service: string;
-  readonly dataCentre: ZoneName;
+  readonly dataCentre: DataCentreName;
   readonly leaf: RecordLeafStandin;
   readonly link: LinkProxy;
   /** Moment at which it said that it is draining; infinite before. */
@@ -107,7 +107,7 @@
     for (let number = 0; number < boxCount; number++) {
       await soak.#addBox(BOX_ZONES[number % BOX_ZONES.length] ?? "hall-a");
     }
-    await soak.fleet.ready();
+    await soak.fleet.waitUntilReady();
     return soak;
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Asks that nothing more be sent to the leafs of a data centre. */
-  evacuate(dataCentre: ZoneName): Evacuation {
+  evacuate(dataCentre: DataCentreName): Evacuation {
     const evacuation = { dataCentre, fromMs: performance.now(), untilMs: Number.POSITIVE_INFINITY };
     this.evacuations.push(evacuation);
     this.fleet.platform.put("evacuations", dataCentre, {});
@@ -148,7 +148,7 @@
     }
     for (const { leaf, hasEnded } of this.allLeafs) {
       if (!hasEnded) {
-        leaf.writeAgain();
+        leaf.rewriteEntry();
       }
     }
   }
@@ -172,7 +172,7 @@
    */
   async addLeaf(
     service: string,
-    dataCentre: ZoneName,
+    dataCentre: DataCentreName,
     { leafId }: { readonly leafId?: string } = {},
   ): Promise<void> {
     this.#leafCount += 1;
@@ -183,8 +183,8 @@
       service,
       dataCentre,
       recordCount: RECORDS.perLeaf,
-      endsUnder: ENDS_LEAFS,
-      openFront: (port) => {
+      crashOnPath: ENDS_LEAFS,
+      startProxy: (port) => {
         const link = new LinkProxy(port);
         links.push(link);
         return link.open();
@@ -208,7 +208,7 @@
     await this.fleet.stop();
   }
 
-  async #addBox(dataCentre: ZoneName): Promise<void> {
+  async #addBox(dataCentre: DataCentreName): Promise<void> {
     const storeLink = new LinkProxy(this.fleet.platform.port);
     const box = await this.fleet.addBox(dataCentre, await storeLink.open());
     this.boxes.push({ box, storeLink, life: 1, isHit: false, isStopping: false });
@@ -222,7 +222,7 @@
     const name = `version-${index + 1}`;
     return { ...single, name, prefix: `/${name}/`, repeatable: true };
   });
-  return standinConfiguration({
+  return toOperatorConfiguration({
     version,
     routes: [
       { host: HOST, name: "sweep", prefix: "/sweep/", repeatable: true, gather },
--- a/fault_soak/store_news_test.ts
+++ b/fault_soak/store_news_test.ts
@@ -6,7 +6,7 @@
 
 import t from "tap";
 import { PlatformWatch } from "../daemon/platform_watch.js";
-import { platformClient } from "../platform/mod.js";
+import { createPlatformClient } from "../platform/mod.js";
 import { BoxFleet, type PlatformBox, startPlatformStandin } from "../platform/standin/mod.js";
 import { pause, until } from "../standins/waiting.js";
 import { LinkProxy } from "./link_proxy.js";
@@ -34,7 +34,10 @@
 
 async function hasRoute(fleet: BoxFleet, box: PlatformBox, version: number): Promise<boolean> {
   const path = `/route-${version}/`;
-  const answer = await fleet.ask(box, { path, requestId: `${box.name}-${version}-${Date.now()}` });
+  const answer = await fleet.sendRequest(box, {
+    path,
+    requestId: `${box.name}-${version}-${Date.now()}`,
+  });
   return answer.statusCode === 200;
 }
 
@@ -50,7 +53,7 @@
   t.teardown(() => fleet.stop());
   await fleet.addBox();
   await fleet.addBox();
-  await fleet.ready();
+  await fleet.waitUntilReady();
   fleet.platform.setFaults({ mode: "silent" });
   const lost = (box: PlatformBox): boolean => {
     return box.process.logTail.some((line) => /"kind":"config".*"store: lost"/.test(line));
@@ -72,7 +75,7 @@
   const link = new LinkProxy(fleet.platform.port);
   t.teardown(() => link.close());
   const box = await fleet.addBox("hall-a", await link.open());
-  await fleet.ready();
+  await fleet.waitUntilReady();
   fleet.configure(configuration(2));
   await until(() => hasRoute(fleet, box, 2), "the box has the first change");
   // The box watches anew 500 ms after a change.
@@ -90,7 +93,7 @@
     const link = new LinkProxy(platform.port);
     const port = await link.open();
     let version = 0;
-    const watch = new PlatformWatch(platformClient(`http://127.0.0.1:${port}`), {
+    const watch = new PlatformWatch(createPlatformClient(`http://127.0.0.1:${port}`), {
       nowMs: () => performance.now(),
       send: (event) => {
         version = event.kind === "platformAnswered" ? (event.boxList?.version ?? version) : version;
--- a/fleet/fleet_link.ts
+++ b/fleet/fleet_link.ts
@@ -7,22 +7,22 @@
 
 import { createSocket, type Socket } from "node:dgram";
 import {
-  ageMembers,
   aliveMembers,
-  hearMembers,
+  createMembership,
+  expireMembers,
   type Membership,
-  newMembership,
+  mergeMembers,
+  selectPiggybackMembers,
   suspectMember,
-  takeRiders,
 } from "../membership/mod.js";
-import type { EvacuationNews, Member, MemberState } from "../model/mod.js";
+import type { EvacuationUpdate, Member, MemberState } from "../model/mod.js";
 import type { ReportedCrashes } from "../quarantine/mod.js";
 import {
   decodeFleetMessage,
   encodeFleetMessage,
   type FleetMessage,
   type FleetMessageKind,
-  type Progress,
+  type SyncProgress,
 } from "./fleet_messages.js";
 
 /** Time between two questions to other boxes, in milliseconds. */
@@ -45,22 +45,22 @@
   /** Port of the datagrams on every box. */
   readonly port: number;
   /** Tells whether a box is in this one's region. */
-  readonly isNear: (member: Member) => boolean;
+  readonly isLocal: (member: Member) => boolean;
   readonly nowMs: () => number;
-  readonly progress: () => Progress;
+  readonly progress: () => SyncProgress;
   /** Gives queries under which leafs were lost, no more than go into a datagram. */
   readonly crashes: () => ReadonlyArray<ReportedCrashes>;
   /** Told of such queries by another box. */
   readonly onCrashes: (told: ReadonlyArray<ReportedCrashes>, sender: Member | undefined) => void;
   /** Gives the data centres that are emptied; nothing where none ever was. */
-  readonly evacuations: () => EvacuationNews | undefined;
+  readonly evacuations: () => EvacuationUpdate | undefined;
   /** Told of these by another box. */
-  readonly onEvacuations: (news: EvacuationNews, sender: Member | undefined) => void;
+  readonly onEvacuations: (news: EvacuationUpdate, sender: Member | undefined) => void;
   /** Told how far another box is. */
-  readonly onProgress: (member: Member, progress: Progress) => void;
+  readonly onProgress: (member: Member, progress: SyncProgress) => void;
   /** Told when a member's state changes, as this box believes it. */
-  readonly onMember: (member: Member) => void;
-  readonly onFault: (message: string) => void;
+  readonly onMemberChange: (member: Member) => void;
+  readonly onError: (message: string) => void;
 }
 
 /** The link to the other boxes. */
@@ -81,13 +81,13 @@
    */
   constructor(options: FleetLinkOptions) {
     this.#options = options;
-    this.#membership = newMembership(options.self);
+    this.#membership = createMembership(options.self);
     this.#socket = createSocket("udp4");
   }
 
   /** Opens the socket and begins to ask. */
   async start(): Promise<void> {
-    const { port, self, onFault } = this.#options;
+    const { port, self, onError: onFault } = this.#options;
     this.#socket.on("message", (data, { address }) => this.#receive(data, address));
     this.#socket.on("error", (error) => onFault(error.message));
     await new Promise<void>((resolve) => this.#socket.bind(port, self.address, resolve));
@@ -109,7 +109,7 @@
   }
 
   /** Time for which no other box was heard, in milliseconds; 0 where none was ever heard. */
-  get unheardForMs(): number {
+  get sinceLastContactMs(): number {
     return Number.isFinite(this.#heardAtMs) ? this.#options.nowMs() - this.#heardAtMs : 0;
   }
 
@@ -118,10 +118,10 @@
    *
    * @param state - The new state.
    */
-  declare(state: MemberState): void {
+  announceState(state: MemberState): void {
     const { self, records } = this.#membership;
     this.#membership = { self: { ...self, state, version: self.version + 1 }, records };
-    this.askAtOnce([...records.values()].map(({ member }) => member));
+    this.requestUpdates([...records.values()].map(({ member }) => member));
   }
 
   /**
@@ -129,7 +129,7 @@
    *
    * @param members - The boxes.
    */
-  tell(members: ReadonlyArray<Member>): void {
+  sendUpdate(members: ReadonlyArray<Member>): void {
     const { port } = this.#options;
     const { self } = this.#membership;
     if (this.#isStopped) {
@@ -146,7 +146,7 @@
    *
    * @param members - The boxes.
    */
-  askAtOnce(members: ReadonlyArray<Member>): void {
+  requestUpdates(members: ReadonlyArray<Member>): void {
     for (const { address } of members) {
       this.#ask(address);
     }
@@ -168,12 +168,12 @@
       this.#membership = suspectMember(this.#membership, silent.memberId, { nowMs: nowMs() });
       this.#asked = undefined;
     }
-    this.#membership = ageMembers(this.#membership, { nowMs: nowMs() });
+    this.#membership = expireMembers(this.#membership, { nowMs: nowMs() });
     this.#tellChanges(before);
     const candidates = [...this.#membership.records.values()]
       .map(({ member }) => member)
       .filter(({ state }) => state !== "dead");
-    const near = candidates.filter((member) => this.#options.isNear(member));
+    const near = candidates.filter((member) => this.#options.isLocal(member));
     const asked = near.length > 0 && Math.random() < NEAR_SHARE ? near : candidates;
     const chosen = asked[pick(asked.length)];
     if (chosen === undefined) {
@@ -199,7 +199,7 @@
     }
     for (const { member } of this.#membership.records.values()) {
       if (before.records.get(member.memberId)?.member.state !== member.state) {
-        this.#options.onMember(member);
+        this.#options.onMemberChange(member);
       }
     }
   }
@@ -214,7 +214,7 @@
   }
 
   #send(kind: FleetMessageKind, number: number, address: string): void {
-    const { membership, riders } = takeRiders(this.#membership, pick);
+    const { membership, piggybackMembers: riders } = selectPiggybackMembers(this.#membership, pick);
     this.#membership = membership;
     const members = [membership.self, ...riders];
     const message = { kind, number, members, ...this.#known() };
@@ -230,12 +230,12 @@
   #receive(data: Buffer, address: string): void {
     const message = decodeFleetMessage(data);
     if (message === undefined) {
-      this.#options.onFault(`Cannot read a datagram from "${address}"`);
+      this.#options.onError(`Cannot read a datagram from "${address}"`);
       return;
     }
-    const { nowMs, onMember, onProgress } = this.#options;
+    const { nowMs, onMemberChange: onMember, onProgress } = this.#options;
     this.#heardAtMs = nowMs();
-    const heard = hearMembers(this.#membership, message.members, { nowMs: nowMs() });
+    const heard = mergeMembers(this.#membership, message.members, { nowMs: nowMs() });
     this.#membership = heard.membership;
     heard.changed.forEach(onMember);
     const sender = message.members[0];
--- a/fleet/fleet_messages.ts
+++ b/fleet/fleet_messages.ts
@@ -6,17 +6,17 @@
  * @module
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
-import type { EvacuationNews, Member } from "../model/mod.js";
-import type { ReportedCrashes, Standing } from "../quarantine/mod.js";
+import type { EvacuationUpdate, Member } from "../model/mod.js";
+import type { CrashStatus, ReportedCrashes } from "../quarantine/mod.js";
 import {
   type CrashFields,
   type FleetMessageKind,
   isMessageFields,
   type MemberFields,
-} from "./_fleet_fields.js";
+} from "./_fleet_message_fields.js";
 
 /** How far a box is with what lasts in the store. */
-export interface Progress {
+export interface SyncProgress {
   /** Version of the configuration in force; 0 before the first. */
   readonly configurationVersion: number;
   /** Revision of the store up to which it knows the leafs' entries; 0 before the first. */
@@ -30,13 +30,13 @@
   readonly kind: FleetMessageKind;
   /** Number of the question, so that an answer can be told from a late one. */
   readonly number: number;
-  readonly progress: Progress;
+  readonly progress: SyncProgress;
   /** The sender first, then others that it tells of. */
   readonly members: ReadonlyArray<Member>;
   /** Queries under which leafs were lost. */
   readonly crashes: ReadonlyArray<ReportedCrashes>;
   /** Data centres that are emptied; nothing where none ever was. */
-  readonly evacuations?: EvacuationNews | undefined;
+  readonly evacuations?: EvacuationUpdate | undefined;
 }
 
 /** Largest datagram taken, inflated, in bytes. */
@@ -107,9 +107,13 @@
     : [];
 }
 
-const STANDINGS: ReadonlySet<string> = new Set<Standing>(["suspected", "quarantined", "cleared"]);
+const STANDINGS: ReadonlySet<string> = new Set<CrashStatus>([
+  "suspected",
+  "quarantined",
+  "cleared",
+]);
 
-function isStanding(text: string): text is Standing {
+function isStanding(text: string): text is CrashStatus {
   return STANDINGS.has(text);
 }
 
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -23,14 +23,14 @@
 export interface FleetViewOptions {
   readonly settings: () => Pick<
     BoxSettings,
-    "box" | "dataCentre" | "regions" | "seeds" | "soundAfterMs"
+    "box" | "dataCentre" | "regions" | "seeds" | "recoveryDeadlineMs"
   >;
   /** All boxes heard of, this one included. */
   readonly members: () => ReadonlyArray<Member>;
   /** Boxes that can be given work, this one included if it can. */
   readonly alive: () => ReadonlyArray<Member>;
   /** Time for which no other box was heard, in milliseconds. */
-  readonly unheardForMs: () => number;
+  readonly sinceLastContactMs: () => number;
 }
 
 /** The fleet as one box sees it. */
@@ -48,7 +48,7 @@
   }
 
   /** Says that a box has changed, so that conclusions are drawn anew. */
-  changed(): void {
+  invalidate(): void {
     this.#serving.clear();
     this.#callersOfCold.clear();
     this.#watchesStore = undefined;
@@ -87,7 +87,10 @@
    * @returns Addresses of that region's boxes; where none there can be given work, of those at home, else of all. This box alone
    *   while it is cut off from the others.
    */
-  advise(region: string, homes: ReadonlyArray<string> = []): ReadonlyArray<SocketAddress> {
+  resolveAddresses(
+    region: string,
+    homes: ReadonlyArray<string> = [],
+  ): ReadonlyArray<SocketAddress> {
     const self = this.#alone();
     const near = self === undefined ? this.servingBoxes(region) : [self];
     const atHome = near.length > 0 ? near : homes.flatMap((home) => this.servingBoxes(home));
@@ -100,8 +103,8 @@
    * while ago: naming them would cost each caller a second.
    */
   #alone(): Member | undefined {
-    const { alive, settings, unheardForMs } = this.#options;
-    const { box, soundAfterMs } = settings();
+    const { alive, settings, sinceLastContactMs: unheardForMs } = this.#options;
+    const { box, recoveryDeadlineMs: soundAfterMs } = settings();
     return unheardForMs() > soundAfterMs
       ? alive().find(({ memberId }) => memberId === box)
       : undefined;
@@ -114,7 +117,7 @@
   }
 
   /** Other boxes of the own region. */
-  others(): ReadonlyArray<Member> {
+  regionPeers(): ReadonlyArray<Member> {
     const { box } = this.#options.settings();
     return this.#nearLiving().filter(({ memberId }) => memberId !== box);
   }
@@ -126,11 +129,11 @@
    *
    * @returns The boxes.
    */
-  hearers(): ReadonlyArray<Member> {
+  updateRecipients(): ReadonlyArray<Member> {
     const { dataCentre, regions } = this.#options.settings();
     const own = regions.get(dataCentre);
     const elsewhere = [...new Set(regions.values())].filter((region) => region !== own);
-    return [...this.others(), ...elsewhere.flatMap((region) => this.#oneOf(region))];
+    return [...this.regionPeers(), ...elsewhere.flatMap((region) => this.#oneOf(region))];
   }
 
   /** A random box, so that one that hears nothing is not told again and again. */
@@ -174,7 +177,7 @@
    * @param dataCentre - The data centre.
    * @returns Their names.
    */
-  callersOfCold(dataCentre: string): ReadonlyArray<string> {
+  coldLeafCallers(dataCentre: string): ReadonlyArray<string> {
     const kept = this.#callersOfCold.get(dataCentre);
     const callers = kept ?? this.#findCallersOfCold(dataCentre);
     this.#callersOfCold.set(dataCentre, callers);
@@ -194,7 +197,7 @@
   }
 
   /** Boxes that serve some region: callers' requests come in at these. */
-  servingEverywhere(): ReadonlyArray<Member> {
+  allServingBoxes(): ReadonlyArray<Member> {
     const { regions } = this.#options.settings();
     return [...new Set(regions.values())].flatMap((region) => this.servingBoxes(region));
   }
@@ -202,7 +205,7 @@
   /** How many boxes serve in all regions, and whether this one does. */
   #serves(): { readonly countServing: number; readonly isServing: boolean } {
     const { box } = this.#options.settings();
-    const serving = this.servingEverywhere();
+    const serving = this.allServingBoxes();
     const isServing = serving.some(({ memberId }) => memberId === box);
     return { countServing: serving.length, isServing };
   }
--- a/fleet/fleet_view_test.ts
+++ b/fleet/fleet_view_test.ts
@@ -21,16 +21,16 @@
 
 function viewOf({ box, dataCentre }: Member, unheardForMs = 0): FleetView {
   return new FleetView({
-    settings: () => ({ box, dataCentre, regions: REGIONS, seeds: [], soundAfterMs: 4_000 }),
+    settings: () => ({ box, dataCentre, regions: REGIONS, seeds: [], recoveryDeadlineMs: 4_000 }),
     members: () => MEMBERS,
     alive: () => MEMBERS,
-    unheardForMs: () => unheardForMs,
+    sinceLastContactMs: () => unheardForMs,
   });
 }
 
 t.test("a box tells all near it and one of each other region of what it learns", async (t) => {
   for (const member of MEMBERS) {
-    const told = viewOf(member).hearers();
+    const told = viewOf(member).updateRecipients();
     const near = MEMBERS.filter(({ dataCentre }) => dataCentre === member.dataCentre);
     const isToldNear = near.every((each) => each === member || told.includes(each));
     t.ok(isToldNear, `${member.box} tells its region, watchers as well`);
@@ -46,7 +46,10 @@
     const [first] = MEMBERS;
     let heard = new Set(first === undefined ? [] : [first]);
     for (let telling = 0; telling < 2; telling++) {
-      heard = new Set([...heard, ...[...heard].flatMap((member) => viewOf(member).hearers())]);
+      heard = new Set([
+        ...heard,
+        ...[...heard].flatMap((member) => viewOf(member).updateRecipients()),
+      ]);
     }
     t.equal(heard.size, MEMBERS.length);
   },
@@ -59,8 +62,14 @@
   if (self === undefined) {
     throw new Error("Cannot test without a box");
   }
-  t.equal(viewOf(self, 3_900).advise("south").length, 3, "others while its knowledge is young");
-  t.same(viewOf(self, 4_100).advise("south"), [{ address: self.address, port: self.callerPort }]);
+  t.equal(
+    viewOf(self, 3_900).resolveAddresses("south").length,
+    3,
+    "others while its knowledge is young",
+  );
+  t.same(viewOf(self, 4_100).resolveAddresses("south"), [
+    { address: self.address, port: self.callerPort },
+  ]);
 });
 
 t.test(
@@ -71,9 +80,9 @@
       throw new Error("Cannot test without a box");
     }
     const view = viewOf(self);
-    t.equal(view.advise("nowhere", ["east"]).length, 2);
-    t.equal(view.advise("south", ["east"]).length, 3, "those near first");
-    t.equal(view.advise("nowhere").length, MEMBERS.length);
+    t.equal(view.resolveAddresses("nowhere", ["east"]).length, 2);
+    t.equal(view.resolveAddresses("south", ["east"]).length, 3, "those near first");
+    t.equal(view.resolveAddresses("nowhere").length, MEMBERS.length);
   },
 );
 
@@ -87,10 +96,10 @@
 
 function viewAmong(members: ReadonlyArray<Member>, { box, dataCentre }: Member): FleetView {
   return new FleetView({
-    settings: () => ({ box, dataCentre, regions: REGIONS, seeds: [], soundAfterMs: 4_000 }),
+    settings: () => ({ box, dataCentre, regions: REGIONS, seeds: [], recoveryDeadlineMs: 4_000 }),
     members: () => members,
     alive: () => members,
-    unheardForMs: () => 0,
+    sinceLastContactMs: () => 0,
   });
 }
 
@@ -133,6 +142,6 @@
   }
   const dead = others.map((member): Member => ({ ...member, state: "dead" }));
   const cutOff = viewAmong([self, ...dead], self);
-  t.same(cutOff.callersOfCold("hall-a"), viewOf(self).callersOfCold("hall-a"));
-  t.same(viewAmong([self], self).callersOfCold("hall-a"), [], "none while no other is known");
+  t.same(cutOff.coldLeafCallers("hall-a"), viewOf(self).coldLeafCallers("hall-a"));
+  t.same(viewAmong([self], self).coldLeafCallers("hall-a"), [], "none while no other is known");
 });
--- a/fleet/relay_places.ts
+++ b/fleet/relay_places.ts
@@ -37,7 +37,7 @@
     if (dataCentre === this.#options.dataCentre) {
       return "zone";
     }
-    return this.isNear(dataCentre) ? "region" : "far";
+    return this.isLocal(dataCentre) ? "region" : "remote";
   }
 
   /**
@@ -46,7 +46,7 @@
    * @param dataCentre - The data centre.
    * @returns Whether it is.
    */
-  isNear(dataCentre: string): boolean {
+  isLocal(dataCentre: string): boolean {
     const { regionOf } = this.#options;
     return regionOf(dataCentre) === regionOf(this.#options.dataCentre);
   }
@@ -89,5 +89,5 @@
 > = {
   zone: () => undefined,
   region: (dataCentre) => `${DATA_CENTRE}${dataCentre}`,
-  far: (dataCentre, regionOf) => `${REGION}${regionOf(dataCentre)}`,
+  remote: (dataCentre, regionOf) => `${REGION}${regionOf(dataCentre)}`,
 };
--- a/fleet/relay_places_test.ts
+++ b/fleet/relay_places_test.ts
@@ -29,6 +29,6 @@
 });
 
 t.test("a leaf of another region is asked through a box of that region", async (t) => {
-  t.equal(PLACES.distance({ dataCentre: "b" }), "far");
+  t.equal(PLACES.distance({ dataCentre: "b" }), "remote");
   t.match(PLACES.boxesAt(PLACES.placeOf({ dataCentre: "b" }) ?? ""), [{ memberId: "box-b" }]);
 });
--- a/latency/waiting_clock.ts
+++ b/latency/event_loop_idle.ts
@@ -13,6 +13,6 @@
  *
  * @returns The time in milliseconds; it stands still while the process computes.
  */
-export function waitedMs(): number {
+export function eventLoopIdleMs(): number {
   return performance.eventLoopUtilization().idle;
 }
--- a/latency/waiting_clock_test.ts
+++ b/latency/event_loop_idle_test.ts
@@ -1,6 +1,6 @@
 import { setTimeout as wait } from "node:timers/promises";
 import t from "tap";
-import { waitedMs } from "./waiting_clock.js";
+import { eventLoopIdleMs } from "./event_loop_idle.js";
 
 /** Computes without a pause. */
 function compute(forMs: number): void {
@@ -12,14 +12,14 @@
 
 t.test("waitedMs() moves while the process waits", async (t) => {
   await wait(1);
-  const beforeMs = waitedMs();
+  const beforeMs = eventLoopIdleMs();
   await wait(60);
-  t.ok(waitedMs() - beforeMs >= 30, `${waitedMs() - beforeMs} ms of 60`);
+  t.ok(eventLoopIdleMs() - beforeMs >= 30, `${eventLoopIdleMs() - beforeMs} ms of 60`);
 });
 
 t.test("waitedMs() stands still while the process computes", async (t) => {
   await wait(1);
-  const beforeMs = waitedMs();
+  const beforeMs = eventLoopIdleMs();
   compute(80);
-  t.equal(waitedMs(), beforeMs);
+  t.equal(eventLoopIdleMs(), beforeMs);
 });
--- a/latency/mean_estimate.ts
+++ b/latency/mean_estimate.ts
@@ -7,7 +7,7 @@
 const WEIGHT = 0.2;
 
 /** How a steady mean takes in an observation. */
-export interface SteadyMeanOptions {
+export interface ClampedMeanOptions {
   /** Most that one observation counts for, as a multiple of the mean. */
   readonly outlierFactor: number;
   /** Weight of one observation, 0 to 1; default 0.2. */
@@ -22,10 +22,10 @@
  * @param options - How much one observation counts for.
  * @returns The new mean.
  */
-export function updateSteadyMean(
+export function updateClampedMean(
   mean: number,
   observed: number,
-  { outlierFactor, weight = WEIGHT }: SteadyMeanOptions,
+  { outlierFactor, weight = WEIGHT }: ClampedMeanOptions,
 ): number {
   if (mean === 0) {
     return observed;
--- a/latency/mod.ts
+++ b/latency/mod.ts
@@ -3,6 +3,7 @@
  *
  * @module
  */
+
+export * from "./event_loop_idle.js";
 export * from "./mean_estimate.js";
 export * from "./quantile_estimate.js";
-export * from "./waiting_clock.js";
--- a/latency/quantile_estimate.ts
+++ b/latency/quantile_estimate.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { updateSteadyMean } from "./mean_estimate.js";
+import { updateClampedMean } from "./mean_estimate.js";
 
 /** What is known of a latency's distribution. */
 export interface QuantileEstimate {
@@ -45,7 +45,7 @@
   observedMs: number,
   { quantile }: { readonly quantile: number },
 ): QuantileEstimate {
-  const meanMs = updateSteadyMean(estimate.meanMs, observedMs, {
+  const meanMs = updateClampedMean(estimate.meanMs, observedMs, {
     outlierFactor: OUTLIER_FACTOR,
     // A running mean at first, so that a cold start weighs no more than its share.
     weight: Math.max(MEAN_WEIGHT, 1 / (estimate.count + 1)),
--- a/leaf_access/barrier.ts
+++ b/leaf_access/block_reason.ts
@@ -5,7 +5,7 @@
  */
 
 /** Why a call may not go to a leaf. */
-export type Barrier =
+export type BlockReason =
   /** The route is served in other regions only. */
   | { readonly kind: "home"; readonly region: string; readonly homes: ReadonlyArray<string> }
   /** Operators have the leaf's data centre emptied. */
@@ -16,7 +16,9 @@
   | { readonly kind: "quarantined"; readonly fingerprint: string };
 
 const SENTENCES: {
-  readonly [K in Barrier["kind"]]: (barrier: Extract<Barrier, { readonly kind: K }>) => string;
+  readonly [K in BlockReason["kind"]]: (
+    barrier: Extract<BlockReason, { readonly kind: K }>,
+  ) => string;
 } = {
   home: ({ region, homes }) => `not served in ${region}, only in ${homes.join(" and ")}`,
   evacuated: ({ dataCentre }) => `${dataCentre} is evacuated`,
@@ -30,6 +32,6 @@
  * @param barrier - Why.
  * @returns A few words.
  */
-export function describeBarrier(barrier: Barrier): string {
-  return (SENTENCES[barrier.kind] as (barrier: Barrier) => string)(barrier);
+export function describeBlockReason(barrier: BlockReason): string {
+  return (SENTENCES[barrier.kind] as (barrier: BlockReason) => string)(barrier);
 }
--- a/leaf_access/cold_share.ts
+++ b/leaf_access/cold_call_quota.ts
@@ -20,12 +20,12 @@
 const LEAST_CALLS = 2;
 
 /** What a cold leaf bears, and who may call it. */
-export interface ColdLeafTerms {
+export interface ColdCallLimit {
   readonly leafId: string;
   /** Calls within any second from all boxes together. */
-  readonly mostCalls: number;
+  readonly maxCalls: number;
   /** Names of the boxes that may call it. */
-  readonly callers: ReadonlyArray<string>;
+  readonly callingBoxes: ReadonlyArray<string>;
 }
 
 /**
@@ -36,7 +36,10 @@
  * @param box - The box.
  * @returns Calls within any second; 0 for a box that leaves the leaf to others.
  */
-export function coldShare({ leafId, mostCalls, callers }: ColdLeafTerms, box: string): number {
+export function coldCallQuota(
+  { leafId, maxCalls: mostCalls, callingBoxes: callers }: ColdCallLimit,
+  box: string,
+): number {
   const handedOut = Math.floor(mostCalls * HANDED_OUT);
   const mostOwners = Math.max(1, Math.floor(handedOut / LEAST_CALLS));
   const owners = rendezvousRank(leafId, callers).slice(0, mostOwners);
--- a/leaf_access/cold_leafs.ts
+++ b/leaf_access/cold_leafs.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import type { Leaf } from "../leafs/mod.js";
-import { coldShare } from "./cold_share.js";
+import { coldCallQuota } from "./cold_call_quota.js";
 
 /** What services say of their cold leafs. */
-export interface ColdTerms {
+export interface WarmupTerms {
   /** Time for which a leaf stays cold after a start, in milliseconds. */
   readonly warmupMs: number;
   /** Calls a second that a cold leaf bears; 0 where nothing is said. */
@@ -20,11 +20,11 @@
   /** Name of this box. */
   readonly box: string;
   /** Tells what a service says of its cold leafs. */
-  readonly termsOf: (service: string) => ColdTerms | undefined;
+  readonly warmupTermsOf: (service: string) => WarmupTerms | undefined;
   /** What may be exceeded: the factor on calls a second, and the calls besides. */
   readonly tolerance: { readonly factor: number; readonly slackCalls: number };
   /** Lists the boxes that may call leafs of a data centre while these are cold; empty while none is known. */
-  readonly callersOf: (dataCentre: string) => ReadonlyArray<string>;
+  readonly callingBoxesOf: (dataCentre: string) => ReadonlyArray<string>;
 }
 
 /**
@@ -58,7 +58,7 @@
    *
    * @param leafs - The leafs, by id.
    */
-  setKnown(leafs: ReadonlyMap<string, Leaf>): void {
+  setLeafs(leafs: ReadonlyMap<string, Leaf>): void {
     const nowMs = this.#options.nowMs();
     for (const leafId of this.#cold.keys()) {
       if (!leafs.has(leafId)) {
@@ -81,10 +81,10 @@
    *
    * @param leafs - The leafs.
    */
-  noteRested(leafs: ReadonlyArray<Leaf>): void {
+  markCold(leafs: ReadonlyArray<Leaf>): void {
     const nowMs = this.#options.nowMs();
     for (const { leafId, entryRevision, service } of leafs) {
-      const warmupMs = this.#options.termsOf(service)?.warmupMs ?? 0;
+      const warmupMs = this.#options.warmupTermsOf(service)?.warmupMs ?? 0;
       if (warmupMs > 0) {
         this.#cold.set(leafId, { entryRevision, untilMs: nowMs + warmupMs });
       }
@@ -116,14 +116,17 @@
     if (!this.isCold(leaf.leafId)) {
       return true;
     }
-    const { box, callersOf, termsOf, tolerance } = this.#options;
+    const { box, callingBoxesOf: callersOf, warmupTermsOf: termsOf, tolerance } = this.#options;
     const warmupPerS = termsOf(leaf.service)?.warmupPerS ?? 0;
     if (warmupPerS <= 0) {
       return true;
     }
     const mostCalls = warmupPerS * tolerance.factor + tolerance.slackCalls;
     const { leafId } = leaf;
-    const share = coldShare({ leafId, mostCalls, callers: callersOf(leaf.dataCentre) }, box);
+    const share = coldCallQuota(
+      { leafId, maxCalls: mostCalls, callingBoxes: callersOf(leaf.dataCentre) },
+      box,
+    );
     return this.#recent(leafId).length < share;
   }
 
--- a/leaf_access/cold_leafs_test.ts
+++ b/leaf_access/cold_leafs_test.ts
@@ -6,8 +6,8 @@
 import t from "tap";
 import type { Leaf } from "../leafs/mod.js";
 import { SAMPLE_LEAF } from "../standins/sample_leaf.js";
+import { coldCallQuota } from "./cold_call_quota.js";
 import { ColdLeafs } from "./cold_leafs.js";
-import { coldShare } from "./cold_share.js";
 
 const TERMS = { warmupMs: 3_000, warmupPerS: 6 };
 /** 6 calls a second, exceeded by half, and 5 besides. */
@@ -20,11 +20,11 @@
   const cold = new ColdLeafs({
     nowMs: () => clock.nowMs,
     box,
-    termsOf: () => TERMS,
+    warmupTermsOf: () => TERMS,
     tolerance: TOLERANCE,
-    callersOf: () => callers,
+    callingBoxesOf: () => callers,
   });
-  cold.setKnown(new Map([[leaf.leafId, leaf]]));
+  cold.setLeafs(new Map([[leaf.leafId, leaf]]));
   return cold;
 }
 
@@ -34,15 +34,15 @@
       fc.integer({ min: 3, max: 200 }),
       fc.integer({ min: 1, max: 40 }),
       fc.string(),
-      (mostCalls, boxes, leafId) => {
-        const callers = Array.from({ length: boxes }, (_, index) => `box-${index}`);
-        const terms = { leafId, mostCalls, callers };
-        const sum = callers.reduce((total, box) => total + coldShare(terms, box), 0);
-        return sum <= 0.75 * mostCalls && sum > 0;
+      (maxCalls, boxes, leafId) => {
+        const callingBoxes = Array.from({ length: boxes }, (_, index) => `box-${index}`);
+        const terms = { leafId, maxCalls: maxCalls, callingBoxes: callingBoxes };
+        const sum = callingBoxes.reduce((total, box) => total + coldCallQuota(terms, box), 0);
+        return sum <= 0.75 * maxCalls && sum > 0;
       },
     ),
   );
-  t.equal(coldShare({ leafId: "i", mostCalls: 14, callers: BOXES }, "box-9"), 0);
+  t.equal(coldCallQuota({ leafId: "i", maxCalls: 14, callingBoxes: BOXES }, "box-9"), 0);
 });
 
 t.test("a cold leaf gets no more than it bears within any second, from all boxes", async (t) => {
@@ -85,7 +85,7 @@
   clock.nowMs = 3_000;
   t.ok(cold.mayCall(COLD));
   const again = { ...COLD, entryRevision: 2, warmingForMs: 500 };
-  cold.setKnown(new Map([[again.leafId, again]]));
+  cold.setLeafs(new Map([[again.leafId, again]]));
   t.ok(cold.isCold(COLD.leafId));
   clock.nowMs = 3_600;
   t.notOk(cold.isCold(COLD.leafId));
@@ -95,7 +95,7 @@
   const clock = { nowMs: 0 };
   const warm = { ...COLD, warmingForMs: 0 };
   const cold = knowing(warm, "box-1", clock);
-  cold.noteRested([warm]);
+  cold.markCold([warm]);
   t.ok(cold.isCold(warm.leafId));
   clock.nowMs = TERMS.warmupMs;
   t.notOk(cold.isCold(warm.leafId));
@@ -105,11 +105,11 @@
   const cold = new ColdLeafs({
     nowMs: () => 0,
     box: "box-1",
-    termsOf: () => ({ warmupMs: 3_000, warmupPerS: 0 }),
+    warmupTermsOf: () => ({ warmupMs: 3_000, warmupPerS: 0 }),
     tolerance: TOLERANCE,
-    callersOf: () => [],
+    callingBoxesOf: () => [],
   });
-  cold.setKnown(new Map([[COLD.leafId, COLD]]));
+  cold.setLeafs(new Map([[COLD.leafId, COLD]]));
   t.ok(cold.isCold(COLD.leafId));
   t.ok(cold.mayCall(COLD));
 });
--- a/leaf_access/leaf_access.ts
+++ b/leaf_access/leaf_access.ts
@@ -11,7 +11,7 @@
 import type { Leaf } from "../leafs/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
 import { findRoute, type RouteKey, type RouteTable } from "../routing/mod.js";
-import type { Barrier } from "./barrier.js";
+import type { BlockReason } from "./block_reason.js";
 import type { ColdLeafs } from "./cold_leafs.js";
 
 /** What the decision is made from. */
@@ -21,8 +21,8 @@
   readonly regionOf: (dataCentre: string) => string;
   /** Data centres to whose leafs nothing more is to be sent. */
   readonly evacuated: () => ReadonlySet<string>;
-  readonly cold: Pick<ColdLeafs, "isCold" | "mayCall" | "noteSent">;
-  readonly quarantine: Pick<Quarantine, "calling">;
+  readonly coldLeafs: Pick<ColdLeafs, "isCold" | "mayCall" | "noteSent">;
+  readonly quarantine: Pick<Quarantine, "permission">;
 }
 
 /** A call that is to go to a leaf. */
@@ -65,8 +65,8 @@
    * @param routeKey - Host and path of the request.
    * @returns What keeps it, or nothing.
    */
-  barrierTo(leaf: Leaf, routeKey: RouteKey): Barrier | undefined {
-    const { cold, evacuated, regionOf } = this.#options;
+  blockReasonForLeaf(leaf: Leaf, routeKey: RouteKey): BlockReason | undefined {
+    const { coldLeafs: cold, evacuated, regionOf } = this.#options;
     const { dataCentre, leafId } = leaf;
     if (evacuated().has(dataCentre)) {
       return { kind: "evacuated", dataCentre };
@@ -84,11 +84,16 @@
    * @param call - The call.
    * @returns What keeps it, or nothing.
    */
-  barrierBefore({ fingerprint, isTrial, leaf, routeKey }: AccessCall): Barrier | undefined {
-    if (!isTrial && this.#options.quarantine.calling(fingerprint) !== "freely") {
+  blockReasonForCall({
+    fingerprint,
+    isTrial,
+    leaf,
+    routeKey,
+  }: AccessCall): BlockReason | undefined {
+    if (!isTrial && this.#options.quarantine.permission(fingerprint) !== "unrestricted") {
       return { kind: "quarantined", fingerprint };
     }
-    return this.barrierTo(leaf, routeKey);
+    return this.blockReasonForLeaf(leaf, routeKey);
   }
 
   /**
@@ -97,7 +102,7 @@
    * @param leaf - The leaf.
    */
   noteSent(leaf: Leaf): void {
-    this.#options.cold.noteSent(leaf);
+    this.#options.coldLeafs.noteSent(leaf);
   }
 
   /**
@@ -107,7 +112,7 @@
    * @returns Whether it is.
    */
   isCold(leafId: string): boolean {
-    return this.#options.cold.isCold(leafId);
+    return this.#options.coldLeafs.isCold(leafId);
   }
 
   #homesOf(routeKey: RouteKey): ReadonlyArray<string> {
--- a/leaf_access/leaf_access_test.ts
+++ b/leaf_access/leaf_access_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import type { Leaf } from "../leafs/mod.js";
-import { type Route, type RouteTable, routeTable } from "../routing/mod.js";
+import { buildRouteTable, type Route, type RouteTable } from "../routing/mod.js";
 import { SAMPLE_LEAF } from "../standins/sample_leaf.js";
 import { LeafAccess, type LeafAccessOptions } from "./leaf_access.js";
 
@@ -19,7 +19,7 @@
 const ROUTE_KEY = { host: "h", path: "/a/x" };
 
 function tableOf(homes: ReadonlyArray<string>, version = 1): RouteTable {
-  return routeTable({
+  return buildRouteTable({
     version,
     routes: [{ ...ROUTE, homes }],
     services: [],
@@ -36,16 +36,16 @@
     routes: () => tableOf([]),
     regionOf: (dataCentre) => dataCentre.slice(0, "north".length),
     evacuated: () => new Set(),
-    cold: { isCold: () => false, mayCall: () => true, noteSent: () => undefined },
-    quarantine: { calling: () => "freely" },
+    coldLeafs: { isCold: () => false, mayCall: () => true, noteSent: () => undefined },
+    quarantine: { permission: () => "unrestricted" },
     ...options,
   });
 }
 
 t.test("barrierTo() keeps a request from leafs outside its homes", async (t) => {
   const access = accessWith({ routes: () => tableOf(["north"]) });
-  t.equal(access.barrierTo(leafIn("north 2"), ROUTE_KEY), undefined);
-  t.same(access.barrierTo(leafIn("south 1"), ROUTE_KEY), {
+  t.equal(access.blockReasonForLeaf(leafIn("north 2"), ROUTE_KEY), undefined);
+  t.same(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY), {
     kind: "home",
     region: "south",
     homes: ["north"],
@@ -55,33 +55,33 @@
 t.test("barrierTo() goes by the homes of the configuration in force now", async (t) => {
   let routes = tableOf(["north"]);
   const access = accessWith({ routes: () => routes });
-  t.equal(access.barrierTo(leafIn("south 1"), ROUTE_KEY)?.kind, "home");
+  t.equal(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY)?.kind, "home");
   routes = tableOf(["south"], 2);
-  t.equal(access.barrierTo(leafIn("south 1"), ROUTE_KEY), undefined);
-  t.equal(access.barrierTo(leafIn("north 1"), ROUTE_KEY)?.kind, "home");
+  t.equal(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY), undefined);
+  t.equal(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY)?.kind, "home");
 });
 
 t.test("barrierTo() keeps every request from an evacuated data centre", async (t) => {
   const evacuated = new Set(["north 1"]);
   const access = accessWith({ evacuated: () => evacuated });
-  t.same(access.barrierTo(leafIn("north 1"), ROUTE_KEY), {
+  t.same(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY), {
     kind: "evacuated",
     dataCentre: "north 1",
   });
-  t.equal(access.barrierTo(leafIn("north 2"), ROUTE_KEY), undefined);
+  t.equal(access.blockReasonForLeaf(leafIn("north 2"), ROUTE_KEY), undefined);
   evacuated.delete("north 1");
-  t.equal(access.barrierTo(leafIn("north 1"), ROUTE_KEY), undefined);
+  t.equal(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY), undefined);
 });
 
 t.test("barrierBefore() keeps back all of a query but its trial", async (t) => {
-  const access = accessWith({ quarantine: { calling: () => "later" } });
+  const access = accessWith({ quarantine: { permission: () => "deferred" } });
   const call = { leaf: leafIn("north 1"), routeKey: ROUTE_KEY, fingerprint: "q", isTrial: false };
-  t.same(access.barrierBefore(call), { kind: "quarantined", fingerprint: "q" });
-  t.equal(access.barrierBefore({ ...call, isTrial: true }), undefined);
+  t.same(access.blockReasonForCall(call), { kind: "quarantined", fingerprint: "q" });
+  t.equal(access.blockReasonForCall({ ...call, isTrial: true }), undefined);
 });
 
 t.test("barrierBefore() holds for a trial too where its leaf may not be called", async (t) => {
   const access = accessWith({ evacuated: () => new Set(["north 1"]) });
   const call = { leaf: leafIn("north 1"), routeKey: ROUTE_KEY, fingerprint: "q", isTrial: true };
-  t.equal(access.barrierBefore(call)?.kind, "evacuated");
+  t.equal(access.blockReasonForCall(call)?.kind, "evacuated");
 });
--- a/leaf_access/mod.ts
+++ b/leaf_access/mod.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export * from "./barrier.js";
+export * from "./block_reason.js";
+export * from "./cold_call_quota.js";
 export * from "./cold_leafs.js";
-export * from "./cold_share.js";
 export * from "./leaf_access.js";
--- a/leafs/choose_leaf.ts
+++ b/leafs/choose_leaf.ts
@@ -4,27 +4,27 @@
  * @module
  */
 import type { Leaf } from "./leaf.js";
-import { expectedLoss, type LeafCondition, NEW_CONDITION } from "./leaf_condition.js";
-import { expectedPace } from "./leaf_pace.js";
+import { expectedFailureRate, INITIAL_LEAF_HEALTH, type LeafHealth } from "./leaf_health.js";
+import { expectedSlowdown } from "./leaf_slowdown.js";
 
 /** How far a leaf is from this box. */
-export type Distance = "zone" | "region" | "far";
+export type Distance = "zone" | "region" | "remote";
 
 /** What the choice is made from. */
-export interface ChoiceView {
+export interface LeafChoiceContext {
   readonly nowMs: number;
   /** The moment by the clock that stands still while this box is busy, in milliseconds. */
-  readonly waitedMs: number;
+  readonly eventLoopIdleMs: number;
   /** Tells what this box has seen of a leaf. */
-  condition(leafId: string): LeafCondition | undefined;
+  health(leafId: string): LeafHealth | undefined;
   /** Tells how far a leaf is. */
   distance(leaf: Leaf): Distance;
   /** Tells how long calls wait at leafs where this one is, if boxes there tell it, in milliseconds. */
-  readonly toldQueueMs?: (leaf: Leaf) => number;
+  readonly reportedQueueMs?: (leaf: Leaf) => number;
   /** How the service's policy places calls; least loaded by default. */
   readonly placement?: Placement;
   /** Tells whether a leaf may be asked at all; every one by default. */
-  readonly mayAsk?: (leaf: Leaf) => boolean;
+  readonly isCallable?: (leaf: Leaf) => boolean;
   /** Tells whether a leaf is cold, and so slower than usual; as its entry told by default. */
   readonly isCold?: (leafId: string) => boolean;
   /**
@@ -41,7 +41,7 @@
  * regions besides the round trip: a near replica has to be some 100 ms slower before a far one is worth
  * its bytes.
  */
-const DISTANCE_COST_MS: Readonly<Record<Distance, number>> = { zone: 0, region: 4, far: 100 };
+const DISTANCE_COST_MS: Readonly<Record<Distance, number>> = { zone: 0, region: 4, remote: 100 };
 
 /**
  * Share of the objective that a leaf may take before its answer is taken to come late: the other half is for merging and
@@ -68,7 +68,7 @@
 };
 
 /** Expected time of a leaf that has not been asked, in milliseconds. */
-const UNKNOWN_MS: Readonly<Record<Distance, number>> = { zone: 15, region: 17, far: 45 };
+const UNKNOWN_MS: Readonly<Record<Distance, number>> = { zone: 15, region: 17, remote: 45 };
 
 /** Calls open at a leaf, as a multiple of its slots, at which other boxes had better turn elsewhere. */
 const FULL_FACTOR = 2;
@@ -105,11 +105,11 @@
   readonly leaf: Leaf;
   readonly distance: Distance;
   /** Time in which it usually answers, in milliseconds. */
-  readonly usualMs: number;
+  readonly typicalLatencyMs: number;
   /** Time that a call would wait there before it is run, by the load that is known, in milliseconds. */
   readonly queueMs: number;
   /** Share of the calls there that are to be expected to come to nothing, 0 to 1. */
-  readonly lossShare: number;
+  readonly failureRate: number;
 }
 
 /**
@@ -119,27 +119,37 @@
  * @param view - What is known of them.
  * @returns The leaf, or nothing where none can be asked.
  */
-export function chooseLeaf(leafs: ReadonlyArray<Leaf>, view: ChoiceView): ChosenLeaf | undefined {
+export function chooseLeaf(
+  leafs: ReadonlyArray<Leaf>,
+  view: LeafChoiceContext,
+): ChosenLeaf | undefined {
   let best: ChosenLeaf | undefined;
   let bestMs = Infinity;
   for (const leaf of leafs) {
-    const condition = view.condition(leaf.leafId) ?? NEW_CONDITION;
-    if (leaf.draining || condition.gone || view.excluded.has(leaf.leafId)) {
+    const condition = view.health(leaf.leafId) ?? INITIAL_LEAF_HEALTH;
+    if (leaf.draining || condition.terminated || view.excluded.has(leaf.leafId)) {
       continue;
     }
-    if (view.mayAsk?.(leaf) === false) {
+    if (view.isCallable?.(leaf) === false) {
       continue;
     }
     const distance = view.distance(leaf);
     const knownMs = condition.meanMs === 0 ? UNKNOWN_MS[distance] : condition.meanMs;
-    const usualMs = knownMs * expectedPace(condition.pace, view.nowMs);
-    const toldMs = view.toldQueueMs?.(leaf) ?? 0;
-    const expectedMs = expectedTimeMs({ leaf, distance, usualMs }, condition, view) + toldMs;
+    const usualMs = knownMs * expectedSlowdown(condition.slowdown, view.nowMs);
+    const toldMs = view.reportedQueueMs?.(leaf) ?? 0;
+    const expectedMs =
+      expectedTimeMs({ leaf, distance, typicalLatencyMs: usualMs }, condition, view) + toldMs;
     if (expectedMs < bestMs) {
       const seenMs = queueMs(leaf, condition, view.nowMs);
-      const lossShare = expectedLoss(condition, view.nowMs);
+      const lossShare = expectedFailureRate(condition, view.nowMs);
       const queuedMs = Math.max(toldMs, seenMs);
-      best = { leaf, distance, usualMs, queueMs: queuedMs, lossShare };
+      best = {
+        leaf,
+        distance,
+        typicalLatencyMs: usualMs,
+        queueMs: queuedMs,
+        failureRate: lossShare,
+      };
       bestMs = expectedMs;
     }
   }
@@ -147,26 +157,36 @@
 }
 
 function expectedTimeMs(
-  { leaf, distance, usualMs }: Pick<ChosenLeaf, "leaf" | "distance" | "usualMs">,
-  condition: LeafCondition,
-  { isCold, nowMs, objectiveMs, waitedMs, placement = "least-loaded" }: ChoiceView,
+  {
+    leaf,
+    distance,
+    typicalLatencyMs: usualMs,
+  }: Pick<ChosenLeaf, "leaf" | "distance" | "typicalLatencyMs">,
+  condition: LeafHealth,
+  {
+    isCold,
+    nowMs,
+    objectiveMs,
+    eventLoopIdleMs: waitedMs,
+    placement = "least-loaded",
+  }: LeafChoiceContext,
 ): number {
   const isLeafCold = isCold?.(leaf.leafId) ?? leaf.warmingForMs > 0;
   const warmMs = isLeafCold ? usualMs * WARMUP_FACTOR : usualMs;
   const load = loadOf(condition, nowMs);
   const queuedMs = warmMs * Math.max(1, (load + 1) / leaf.slots);
-  const silentMs = isSilent(condition, waitedMs) ? SILENT_COST_MS : 0;
+  const silentMs = isUnresponsive(condition, waitedMs) ? SILENT_COST_MS : 0;
   const avoidMs = condition.avoidUntilMs > nowMs ? AVOID_COST_MS : 0;
-  const lossMs = expectedLoss(condition, nowMs) * LOSS_COST_MS;
+  const lossMs = expectedFailureRate(condition, nowMs) * LOSS_COST_MS;
   const distanceMs = DISTANCE_COST_MS[distance] * DISTANCE_FACTORS[placement];
-  const isSlow = expectedPace(condition.pace, nowMs) > 1;
+  const isSlow = expectedSlowdown(condition.slowdown, nowMs) > 1;
   const timelyMs = (objectiveMs ?? Number.POSITIVE_INFINITY) * TIMELY_SHARE;
   const lateMs = isSlow ? Math.max(0, queuedMs - timelyMs) * LATE_WEIGHT : 0;
   return queuedMs + lateMs + distanceMs + silentMs + avoidMs + lossMs;
 }
 
 /** Calls at a leaf: those of this box, or what it told, which counts for less the older it is. */
-function loadOf({ openCalls, reportedAtMs, reportedLoad }: LeafCondition, nowMs: number): number {
+function loadOf({ openCalls, reportedAtMs, reportedLoad }: LeafHealth, nowMs: number): number {
   const toldShare = Math.max(0, 1 - (nowMs - reportedAtMs) / REPORTED_LOAD_MS);
   return Math.max(openCalls.length, reportedLoad * toldShare);
 }
@@ -181,11 +201,11 @@
  */
 export function queueMs(
   { slots }: Pick<Leaf, "slots">,
-  condition: LeafCondition,
+  condition: LeafHealth,
   nowMs: number,
 ): number {
   const ahead = Math.max(0, loadOf(condition, nowMs) + 1 - slots);
-  return (ahead / slots) * condition.workMs * expectedPace(condition.pace, nowMs);
+  return (ahead / slots) * condition.workMs * expectedSlowdown(condition.slowdown, nowMs);
 }
 
 /**
@@ -195,7 +215,7 @@
  * @param leaf - Its slots.
  * @returns Whether it is full.
  */
-export function isFull({ openCalls }: LeafCondition, { slots }: Pick<Leaf, "slots">): boolean {
+export function isFull({ openCalls }: LeafHealth, { slots }: Pick<Leaf, "slots">): boolean {
   return openCalls.length >= slots * FULL_FACTOR;
 }
 
@@ -206,13 +226,13 @@
  * @param waitedMs - The present moment by the clock that stands still while this box is busy.
  * @returns Whether it has calls open and has answered none for much longer than usual.
  */
-export function isSilent(condition: LeafCondition, waitedMs: number): boolean {
-  const { heardAtWaitedMs, meanMs, openCalls } = condition;
+export function isUnresponsive(condition: LeafHealth, waitedMs: number): boolean {
+  const { lastAnswerAtIdleMs: heardAtWaitedMs, meanMs, openCalls } = condition;
   const [oldest] = openCalls;
   if (oldest === undefined) {
     return false;
   }
   const calls = openCalls.length > 1 ? "several" : "one";
   const silentAfterMs = Math.max(SILENT_MS[calls], SILENT_MEANS[calls] * meanMs);
-  return waitedMs - Math.max(oldest.sentAtWaitedMs, heardAtWaitedMs) > silentAfterMs;
+  return waitedMs - Math.max(oldest.sentAtIdleMs, heardAtWaitedMs) > silentAfterMs;
 }
--- a/leafs/leaf_condition.ts
+++ b/leafs/leaf_health.ts
@@ -4,17 +4,17 @@
  * @module
  */
 import { updateMean } from "../latency/mod.js";
-import { type LeafPace, notePace, USUAL_PACE } from "./leaf_pace.js";
+import { type LeafSlowdown, NO_SLOWDOWN, recordSlowdown } from "./leaf_slowdown.js";
 
 /** A call that is not answered yet. */
 export interface OpenLeafCall {
   readonly callId: number;
   /** When it was sent, by the clock that stands still while this box is busy, in milliseconds. */
-  readonly sentAtWaitedMs: number;
+  readonly sentAtIdleMs: number;
 }
 
 /** What this box has seen of one leaf. */
-export interface LeafCondition {
+export interface LeafHealth {
   /**
    * Mean time of an answered call while the leaf works as usual, in milliseconds, the network included; 0 before the
    * first.
@@ -28,39 +28,39 @@
   /** Calls of this box that the leaf has not answered yet; few, so a list is the quickest. */
   readonly openCalls: ReadonlyArray<OpenLeafCall>;
   /** When it last answered, by the clock that stands still while this box is busy, in milliseconds. */
-  readonly heardAtWaitedMs: number;
+  readonly lastAnswerAtIdleMs: number;
   /** Requests running and waiting at the leaf from all boxes, as it last told. */
   readonly reportedLoad: number;
   /** When it told that. */
   readonly reportedAtMs: number;
   /** How long work takes there, as it last reported. */
-  readonly pace: LeafPace;
+  readonly slowdown: LeafSlowdown;
   /** Share of the latest calls, 0 to 1, that the leaf refused or that came to nothing. */
-  readonly lostShare: number;
+  readonly failureRate: number;
   /** When a call last did. */
-  readonly lostAtMs: number;
+  readonly lastFailureAtMs: number;
   /** Calls that failed since the last success. */
-  readonly failuresInRow: number;
+  readonly consecutiveFailures: number;
   /** Moment until which the leaf is asked only where no other is left. */
   readonly avoidUntilMs: number;
   /** Whether it said that it is leaving or is not the leaf that was expected. */
-  readonly gone: boolean;
+  readonly terminated: boolean;
 }
 
 /** A leaf that has not been asked yet. */
-export const NEW_CONDITION: LeafCondition = {
+export const INITIAL_LEAF_HEALTH: LeafHealth = {
   meanMs: 0,
   workMs: 0,
   openCalls: [],
-  heardAtWaitedMs: 0,
+  lastAnswerAtIdleMs: 0,
   reportedLoad: 0,
   reportedAtMs: 0,
-  pace: USUAL_PACE,
-  lostShare: 0,
-  lostAtMs: 0,
-  failuresInRow: 0,
+  slowdown: NO_SLOWDOWN,
+  failureRate: 0,
+  lastFailureAtMs: 0,
+  consecutiveFailures: 0,
   avoidUntilMs: 0,
-  gone: false,
+  terminated: false,
 };
 
 /** First time that a failing leaf is avoided, in milliseconds; doubled with each further failure. */
@@ -85,13 +85,13 @@
  * @param call - Id of the call, and the moment by the clock that stands still while this box is busy.
  * @returns The condition after that.
  */
-export function noteSent(
-  condition: LeafCondition,
+export function recordCallSent(
+  condition: LeafHealth,
   { callId, waitedMs }: { readonly callId: number; readonly waitedMs: number },
-): LeafCondition {
+): LeafHealth {
   return {
     ...condition,
-    openCalls: [...condition.openCalls, { callId, sentAtWaitedMs: waitedMs }],
+    openCalls: [...condition.openCalls, { callId, sentAtIdleMs: waitedMs }],
   };
 }
 
@@ -100,12 +100,12 @@
   readonly callId: number;
   readonly nowMs: number;
   /** The moment by the clock that stands still while this box is busy, in milliseconds. */
-  readonly waitedMs: number;
+  readonly eventLoopIdleMs: number;
   readonly result: "answered" | "failed" | "full" | "gone" | "abandoned";
   /** Load that the leaf told with its answer. */
   readonly reportedLoad?: number | undefined;
   /** Times as long as usual that work takes there, as it reported with its answer. */
-  readonly paceFactor?: number | undefined;
+  readonly slowdownFactor?: number | undefined;
   /** Requests that the leaf runs at the same time; needed to make something of its load. */
   readonly slots?: number;
 }
@@ -117,16 +117,19 @@
  * @param end - How the call ended.
  * @returns The condition after that.
  */
-export function noteEnded(condition: LeafCondition, end: CallEnd): LeafCondition {
+export function recordCallEnd(condition: LeafHealth, end: CallEnd): LeafHealth {
   const call = condition.openCalls.find(({ callId }) => callId === end.callId);
-  const tookMs = call === undefined ? 0 : end.waitedMs - call.sentAtWaitedMs;
+  const tookMs = call === undefined ? 0 : end.eventLoopIdleMs - call.sentAtIdleMs;
   const openCalls = condition.openCalls.filter(({ callId }) => callId !== end.callId);
   const told =
     end.reportedLoad === undefined
       ? {}
       : { reportedLoad: end.reportedLoad, reportedAtMs: end.nowMs };
-  const { paceFactor: factor, nowMs } = end;
-  const pace = factor === undefined ? condition.pace : notePace(condition.pace, { factor, nowMs });
+  const { slowdownFactor: factor, nowMs } = end;
+  const pace =
+    factor === undefined
+      ? condition.slowdown
+      : recordSlowdown(condition.slowdown, { factor, nowMs });
   const ended = { ...condition, openCalls, pace, ...told };
   return END_HANDLERS[end.result](ended, end, tookMs / Math.max(1, factor ?? 1));
 }
@@ -140,9 +143,9 @@
   return updateMean(workMs, tookMs / turns);
 }
 
-function noteLoss(condition: LeafCondition, nowMs: number): LeafCondition {
-  const lostShare = condition.lostShare + LOST_WEIGHT * (1 - condition.lostShare);
-  return { ...condition, lostShare, lostAtMs: nowMs };
+function noteLoss(condition: LeafHealth, nowMs: number): LeafHealth {
+  const lostShare = condition.failureRate + LOST_WEIGHT * (1 - condition.failureRate);
+  return { ...condition, failureRate: lostShare, lastFailureAtMs: nowMs };
 }
 
 /**
@@ -152,31 +155,38 @@
  * @param nowMs - The present moment.
  * @returns The share, 0 to 1; fades while no call is lost, so that the leaf is tried again.
  */
-export function expectedLoss({ lostAtMs, lostShare }: LeafCondition, nowMs: number): number {
+export function expectedFailureRate(
+  { lastFailureAtMs: lostAtMs, failureRate: lostShare }: LeafHealth,
+  nowMs: number,
+): number {
   return lostShare * Math.max(0, 1 - (nowMs - lostAtMs) / LOST_FADE_MS);
 }
 
-type EndHandler = (condition: LeafCondition, end: CallEnd, tookMs: number) => LeafCondition;
+type EndHandler = (condition: LeafHealth, end: CallEnd, tookMs: number) => LeafHealth;
 
 const END_HANDLERS: Readonly<Record<CallEnd["result"], EndHandler>> = {
   answered: (condition, end, tookMs) => ({
     ...condition,
     meanMs: updateMean(condition.meanMs, tookMs),
     workMs: noteWork(condition.workMs, end, tookMs),
-    heardAtWaitedMs: end.waitedMs,
-    lostShare: condition.lostShare * (1 - LOST_WEIGHT),
-    failuresInRow: 0,
+    lastAnswerAtIdleMs: end.eventLoopIdleMs,
+    failureRate: condition.failureRate * (1 - LOST_WEIGHT),
+    consecutiveFailures: 0,
     avoidUntilMs: 0,
   }),
   failed: (condition, { nowMs }) => {
-    const failuresInRow = condition.failuresInRow + 1;
+    const failuresInRow = condition.consecutiveFailures + 1;
     const avoidMs = Math.min(MOST_AVOID_MS, AVOID_MS * 2 ** (failuresInRow - 1));
-    return { ...noteLoss(condition, nowMs), failuresInRow, avoidUntilMs: nowMs + avoidMs };
+    return {
+      ...noteLoss(condition, nowMs),
+      consecutiveFailures: failuresInRow,
+      avoidUntilMs: nowMs + avoidMs,
+    };
   },
   full: (condition, { nowMs }) => ({
     ...noteLoss(condition, nowMs),
     avoidUntilMs: nowMs + AVOID_MS,
   }),
-  gone: (condition) => ({ ...condition, gone: true }),
+  gone: (condition) => ({ ...condition, terminated: true }),
   abandoned: (condition) => condition,
 };
--- a/leafs/leaf_pace.ts
+++ b/leafs/leaf_slowdown.ts
@@ -9,7 +9,7 @@
  */
 
 /** What a leaf has reported of its pace. */
-export interface LeafPace {
+export interface LeafSlowdown {
   /** Times as long as usual that work takes there; 1 as usual. */
   readonly factor: number;
   /** When it reported that. */
@@ -19,7 +19,7 @@
 }
 
 /** A leaf that has reported nothing. */
-export const USUAL_PACE: LeafPace = { factor: 1, reportedAtMs: 0, sinceMs: 0 };
+export const NO_SLOWDOWN: LeafSlowdown = { factor: 1, reportedAtMs: 0, sinceMs: 0 };
 
 /** Two reports are alike where they differ by no more than this factor. */
 const ALIKE_FACTOR = 1.5;
@@ -43,10 +43,10 @@
  * @param report - Times as long as usual that work takes now, and the moment.
  * @returns The pace after that.
  */
-export function notePace(
-  pace: LeafPace,
+export function recordSlowdown(
+  pace: LeafSlowdown,
   { factor, nowMs }: { readonly factor: number; readonly nowMs: number },
-): LeafPace {
+): LeafSlowdown {
   const believed = Math.min(BELIEVED_FACTORS.most, Math.max(BELIEVED_FACTORS.least, factor));
   const ratio = believed / pace.factor;
   const isAlike = ratio <= ALIKE_FACTOR && ratio >= 1 / ALIKE_FACTOR;
@@ -61,7 +61,10 @@
  * @param nowMs - The present moment.
  * @returns The factor; 1 as usual.
  */
-export function expectedPace({ factor, reportedAtMs, sinceMs }: LeafPace, nowMs: number): number {
+export function expectedSlowdown(
+  { factor, reportedAtMs, sinceMs }: LeafSlowdown,
+  nowMs: number,
+): number {
   const lastedMs = reportedAtMs - sinceMs;
   const believedMs = Math.min(MOST_BELIEVED_MS, Math.max(LEAST_BELIEVED_MS, lastedMs));
   return nowMs - reportedAtMs < believedMs ? factor : 1;
--- a/leafs/leaf_table.ts
+++ b/leafs/leaf_table.ts
@@ -11,16 +11,20 @@
   readonly byId: ReadonlyMap<string, Leaf>;
   readonly byService: ReadonlyMap<string, ReadonlyArray<Leaf>>;
   /** Leafs whose entry is gone but may come back, and the moment at which they are dropped. */
-  readonly dropAtMs: ReadonlyMap<string, number>;
+  readonly expiresAtMs: ReadonlyMap<string, number>;
   /** The latest leafs whose entry went, as last known: an older store may tell of them again. */
-  readonly ended?: ReadonlyMap<string, Leaf>;
+  readonly recentlyRemoved?: ReadonlyMap<string, Leaf>;
 }
 
 /** Leafs that are remembered after their end: some minutes' worth of a rolling release. */
 const MOST_ENDED = 500;
 
 /** A table without leafs. */
-export const NO_LEAFS: LeafTable = { byId: new Map(), byService: new Map(), dropAtMs: new Map() };
+export const EMPTY_LEAF_TABLE: LeafTable = {
+  byId: new Map(),
+  byService: new Map(),
+  expiresAtMs: new Map(),
+};
 
 /** What has changed among the leafs' entries. */
 export interface LeafChanges {
@@ -53,8 +57,8 @@
   { nowMs, graceMs }: RemovalOptions,
 ): LeafTable {
   const byId = new Map(table.byId);
-  const dropAtMs = new Map(table.dropAtMs);
-  const ended = new Map(table.ended);
+  const dropAtMs = new Map(table.expiresAtMs);
+  const ended = new Map(table.recentlyRemoved);
   for (const leaf of changed) {
     const known = byId.get(leaf.leafId);
     if (isCurrent(leaf, known ?? ended.get(leaf.leafId), { hasEnded: known === undefined })) {
@@ -76,7 +80,7 @@
     byId.delete(leafId);
     dropAtMs.delete(leafId);
   }
-  return { byId, byService: groupByService(byId), dropAtMs, ended };
+  return { byId, byService: groupByService(byId), expiresAtMs: dropAtMs, recentlyRemoved: ended };
 }
 
 /**
@@ -137,7 +141,7 @@
 }
 
 /** Which leafs are dropped. */
-export interface OverdueOptions {
+export interface ExpiryOptions {
   readonly nowMs: number;
   readonly mayDrop: (leafId: string) => boolean;
 }
@@ -149,8 +153,8 @@
  * @param options - The present moment, and which leafs may be dropped.
  * @returns The table after that; the same object where nothing was due.
  */
-export function dropOverdueLeafs(table: LeafTable, { nowMs, mayDrop }: OverdueOptions): LeafTable {
-  const due = [...table.dropAtMs]
+export function dropExpiredLeafs(table: LeafTable, { nowMs, mayDrop }: ExpiryOptions): LeafTable {
+  const due = [...table.expiresAtMs]
     .filter(([leafId, atMs]) => atMs <= nowMs && mayDrop(leafId))
     .map(([leafId]) => leafId);
   if (due.length === 0) {
--- a/leafs/leaf_table_test.ts
+++ b/leafs/leaf_table_test.ts
@@ -6,7 +6,7 @@
 import { storePosition } from "../model/mod.js";
 import { SAMPLE_LEAF } from "../standins/sample_leaf.js";
 import type { Leaf } from "./leaf.js";
-import { applyLeafChanges, applyLeafList, type LeafTable, NO_LEAFS } from "./leaf_table.js";
+import { applyLeafChanges, applyLeafList, EMPTY_LEAF_TABLE, type LeafTable } from "./leaf_table.js";
 
 const AT_ONCE = { nowMs: 0, graceMs: 0 };
 
@@ -17,7 +17,7 @@
 }
 
 function tableOf(...leafs: ReadonlyArray<Leaf>): LeafTable {
-  return applyLeafList(NO_LEAFS, leafs, AT_ONCE);
+  return applyLeafList(EMPTY_LEAF_TABLE, leafs, AT_ONCE);
 }
 
 t.test("a leaf that will end is not ready again by an older entry of it", async (t) => {
--- a/leafs/mod.ts
+++ b/leafs/mod.ts
@@ -5,6 +5,6 @@
  */
 export * from "./choose_leaf.js";
 export * from "./leaf.js";
-export * from "./leaf_condition.js";
-export * from "./leaf_pace.js";
+export * from "./leaf_health.js";
+export * from "./leaf_slowdown.js";
 export * from "./leaf_table.js";
--- a/lifecycle/daemon_lifecycle.ts
+++ b/lifecycle/daemon_lifecycle.ts
@@ -35,7 +35,7 @@
 export type Lifecycle = SnapshotFrom<typeof MACHINE>;
 
 /** The life of a daemon that has just started. */
-export const NEW_LIFECYCLE: Lifecycle = createActor(MACHINE).getSnapshot();
+export const INITIAL_LIFECYCLE: Lifecycle = createActor(MACHINE).getSnapshot();
 
 /**
  * Moves a daemon through its life.
@@ -44,7 +44,7 @@
  * @param type - What happened.
  * @returns Where it stands after that; an event that does not fit changes nothing.
  */
-export function moveLifecycle(lifecycle: Lifecycle, type: LifecycleEvent["type"]): Lifecycle {
+export function transitionLifecycle(lifecycle: Lifecycle, type: LifecycleEvent["type"]): Lifecycle {
   return transition(MACHINE, lifecycle, { type })[0];
 }
 
--- a/limits/shared_limit.ts
+++ b/limits/shared_limit.ts
@@ -24,7 +24,7 @@
   /** Whether a request to borrow is on its way. */
   readonly borrowing: boolean;
   /** Requests turned away since the last loan; how much to ask for. */
-  readonly unmet: number;
+  readonly refusedSinceLoan: number;
 }
 
 /**
@@ -53,7 +53,7 @@
  */
 export function newShare(rate: BucketRate, { nowMs }: { readonly nowMs: number }): LimitShare {
   const tokens = rate.perSecond > 0 ? rate.burst : 0;
-  return { bucket: { tokens, countedAtMs: nowMs }, borrowing: false, unmet: 0 };
+  return { bucket: { tokens, updatedAtMs: nowMs }, borrowing: false, refusedSinceLoan: 0 };
 }
 
 /**
@@ -74,7 +74,10 @@
     const spent = { ...bucket, tokens: bucket.tokens - 1 };
     return { admitted: true, share: { ...share, bucket: spent } };
   }
-  return { admitted: false, share: { ...share, bucket, unmet: share.unmet + 1 } };
+  return {
+    admitted: false,
+    share: { ...share, bucket, refusedSinceLoan: share.refusedSinceLoan + 1 },
+  };
 }
 
 /**
@@ -105,5 +108,5 @@
  */
 export function receiveLoan(share: LimitShare, lent: number): LimitShare {
   const bucket = { ...share.bucket, tokens: share.bucket.tokens + lent };
-  return { bucket, borrowing: false, unmet: 0 };
+  return { bucket, borrowing: false, refusedSinceLoan: 0 };
 }
--- a/limits/token_bucket.ts
+++ b/limits/token_bucket.ts
@@ -7,7 +7,7 @@
 /** Tokens left, and when they were counted. */
 export interface TokenBucket {
   readonly tokens: number;
-  readonly countedAtMs: number;
+  readonly updatedAtMs: number;
 }
 
 /** Rate and size of a bucket. */
@@ -31,9 +31,9 @@
   rate: BucketRate,
   { nowMs }: { readonly nowMs: number },
 ): TokenBucket {
-  const elapsedMs = Math.max(0, nowMs - bucket.countedAtMs);
+  const elapsedMs = Math.max(0, nowMs - bucket.updatedAtMs);
   const tokens = Math.min(rate.burst, bucket.tokens + (elapsedMs / 1000) * rate.perSecond);
-  return { tokens, countedAtMs: Math.max(nowMs, bucket.countedAtMs) };
+  return { tokens, updatedAtMs: Math.max(nowMs, bucket.updatedAtMs) };
 }
 
 /**
--- a/membership/membership.ts
+++ b/membership/membership.ts
@@ -13,10 +13,10 @@
 import { overrides } from "./member_order.js";
 
 /** Time a suspected daemon has to speak up, in milliseconds. */
-export const SUSPECT_MS = 2_500;
+export const SUSPICION_TIMEOUT_MS = 2_500;
 
 /** Time a dead daemon is remembered, so that old news does not revive it, in milliseconds. */
-export const FORGET_MS = 300_000;
+export const DEAD_RETENTION_MS = 300_000;
 
 /** Accounts that ride on one exchange at most. */
 const RIDERS = 12;
@@ -30,7 +30,7 @@
   /** When this daemon took in the account, on its own clock. */
   readonly changedAtMs: number;
   /** Exchanges that the account still rides on. */
-  readonly ridesLeft: number;
+  readonly transmissionsLeft: number;
 }
 
 /** What one daemon knows of all. */
@@ -45,7 +45,7 @@
  * @param self - The daemon.
  * @returns The table.
  */
-export function newMembership(self: Member): Membership {
+export function createMembership(self: Member): Membership {
   return { self, records: ImmutableMap() };
 }
 
@@ -57,7 +57,7 @@
  * @param options - The present moment.
  * @returns The table after that, and the accounts that changed it.
  */
-export function hearMembers(
+export function mergeMembers(
   membership: Membership,
   members: ReadonlyArray<Member>,
   { nowMs }: { readonly nowMs: number },
@@ -72,7 +72,11 @@
     const held = records.get(member.memberId);
     if (held === undefined || overrides(member, held.member)) {
       const ridesLeft = ridesFor(records.size);
-      records = records.set(member.memberId, { member, changedAtMs: nowMs, ridesLeft });
+      records = records.set(member.memberId, {
+        member,
+        changedAtMs: nowMs,
+        transmissionsLeft: ridesLeft,
+      });
       changed.push(member);
     }
   }
@@ -113,7 +117,7 @@
   }
   // A leaving daemon that falls silent has ended as it said it would.
   const state = held.member.state === "leaving" ? "dead" : "suspect";
-  return hearMembers(membership, [{ ...held.member, state }], { nowMs }).membership;
+  return mergeMembers(membership, [{ ...held.member, state }], { nowMs }).membership;
 }
 
 /**
@@ -123,18 +127,18 @@
  * @param options - The present moment.
  * @returns The table after that.
  */
-export function ageMembers(
+export function expireMembers(
   membership: Membership,
   { nowMs }: { readonly nowMs: number },
 ): Membership {
   const overdue = [...membership.records.values()]
     .filter(({ member, changedAtMs }) => {
-      return member.state === "suspect" && nowMs - changedAtMs >= SUSPECT_MS;
+      return member.state === "suspect" && nowMs - changedAtMs >= SUSPICION_TIMEOUT_MS;
     })
     .map(({ member }) => ({ ...member, state: "dead" as const }));
-  const aged = hearMembers(membership, overdue, { nowMs }).membership;
+  const aged = mergeMembers(membership, overdue, { nowMs }).membership;
   const records = aged.records.filter(({ member, changedAtMs }) => {
-    return member.state !== "dead" || nowMs - changedAtMs < FORGET_MS;
+    return member.state !== "dead" || nowMs - changedAtMs < DEAD_RETENTION_MS;
   });
   return records.size === aged.records.size ? aged : { ...aged, records };
 }
@@ -146,17 +150,17 @@
  * @param pick - Gives a whole number from 0 up to but without its argument.
  * @returns The accounts, and the table with their rides counted.
  */
-export function takeRiders(
+export function selectPiggybackMembers(
   membership: Membership,
   pick: (count: number) => number,
-): { readonly membership: Membership; readonly riders: ReadonlyArray<Member> } {
+): { readonly membership: Membership; readonly piggybackMembers: ReadonlyArray<Member> } {
   const fresh = [...membership.records.values()]
-    .filter((record) => record.ridesLeft > 0)
-    .sort((a, b) => b.ridesLeft - a.ridesLeft)
+    .filter((record) => record.transmissionsLeft > 0)
+    .sort((a, b) => b.transmissionsLeft - a.transmissionsLeft)
     .slice(0, RIDERS);
   let records = membership.records;
   for (const record of fresh) {
-    const counted = { ...record, ridesLeft: record.ridesLeft - 1 };
+    const counted = { ...record, ridesLeft: record.transmissionsLeft - 1 };
     records = records.set(record.member.memberId, counted);
   }
   const all = [...membership.records.values()];
@@ -164,7 +168,7 @@
     return all[pick(all.length)];
   }).filter((record) => record !== undefined);
   const riders = new Set([...fresh, ...random].map((record) => record.member));
-  return { membership: { ...membership, records }, riders: [...riders] };
+  return { membership: { ...membership, records }, piggybackMembers: [...riders] };
 }
 
 // Counts depend on the records alone; the memo only saves work.
--- a/membership/membership_test.ts
+++ b/membership/membership_test.ts
@@ -1,20 +1,20 @@
 import t from "tap";
 import { testMember } from "../entry/_core_harness.js";
 import {
-  ageMembers,
   aliveMembers,
-  hearMembers,
+  createMembership,
+  expireMembers,
   type Membership,
-  newMembership,
-  SUSPECT_MS,
+  mergeMembers,
+  SUSPICION_TIMEOUT_MS,
   suspectMember,
 } from "./membership.js";
 
 const OTHER = testMember("b/pool");
 
 function withOther(): Membership {
-  const start = newMembership(testMember("a/entry"));
-  return hearMembers(start, [OTHER], { nowMs: 0 }).membership;
+  const start = createMembership(testMember("a/entry"));
+  return mergeMembers(start, [OTHER], { nowMs: 0 }).membership;
 }
 
 function stateOf(membership: Membership): string | undefined {
@@ -25,39 +25,39 @@
   const suspected = suspectMember(withOther(), "b/pool", { nowMs: 0 });
   t.equal(stateOf(suspected), "suspect");
   t.same(aliveMembers(suspected, "pool"), []);
-  t.equal(stateOf(ageMembers(suspected, { nowMs: SUSPECT_MS - 1 })), "suspect");
-  t.equal(stateOf(ageMembers(suspected, { nowMs: SUSPECT_MS })), "dead");
+  t.equal(stateOf(expireMembers(suspected, { nowMs: SUSPICION_TIMEOUT_MS - 1 })), "suspect");
+  t.equal(stateOf(expireMembers(suspected, { nowMs: SUSPICION_TIMEOUT_MS })), "dead");
 });
 
 t.test("a suspected daemon speaks up with a higher version", async (t) => {
-  const own = newMembership(OTHER);
+  const own = createMembership(OTHER);
   const rumour = { ...OTHER, state: "suspect" } as const;
-  const { self } = hearMembers(own, [rumour], { nowMs: 0 }).membership;
+  const { self } = mergeMembers(own, [rumour], { nowMs: 0 }).membership;
   const suspected = suspectMember(withOther(), "b/pool", { nowMs: 0 });
-  t.equal(stateOf(hearMembers(suspected, [self], { nowMs: 1 }).membership), "alive");
+  t.equal(stateOf(mergeMembers(suspected, [self], { nowMs: 1 }).membership), "alive");
 });
 
 t.test("a daemon that is still joining is given no work", async (t) => {
   const joining = { ...OTHER, state: "joining" } as const;
-  const start = newMembership(testMember("a/entry"));
-  const heard = hearMembers(start, [joining], { nowMs: 0 }).membership;
+  const start = createMembership(testMember("a/entry"));
+  const heard = mergeMembers(start, [joining], { nowMs: 0 }).membership;
   t.same(aliveMembers(heard, "pool"), []);
   const alive = { ...OTHER, version: 2 };
-  t.equal(aliveMembers(hearMembers(heard, [alive], { nowMs: 1 }).membership, "pool").length, 1);
+  t.equal(aliveMembers(mergeMembers(heard, [alive], { nowMs: 1 }).membership, "pool").length, 1);
 });
 
 t.test("old news of a daemon changes nothing, and a later run replaces the earlier", async (t) => {
   const newer = { ...OTHER, incarnation: "second", startedAtEpochMs: 2 };
-  const replaced = hearMembers(withOther(), [newer], { nowMs: 0 }).membership;
+  const replaced = mergeMembers(withOther(), [newer], { nowMs: 0 }).membership;
   const old = { ...OTHER, version: 9, state: "dead" as const };
-  const after = hearMembers(replaced, [old], { nowMs: 1 });
+  const after = mergeMembers(replaced, [old], { nowMs: 1 });
   t.same(after.changed, []);
   t.equal(after.membership.records.get("b/pool")?.member.incarnation, "second");
 });
 
 t.test("a replacement whose clock is behind its predecessor's still takes its place", async (t) => {
-  const late = newMembership({ ...OTHER, incarnation: "new", startedAtEpochMs: 1 });
+  const late = createMembership({ ...OTHER, incarnation: "new", startedAtEpochMs: 1 });
   const predecessor = { ...OTHER, incarnation: "old", startedAtEpochMs: 50 };
-  const { self } = hearMembers(late, [predecessor], { nowMs: 0 }).membership;
+  const { self } = mergeMembers(late, [predecessor], { nowMs: 0 }).membership;
   t.ok(self.startedAtEpochMs > 50);
 });
--- a/model/evacuation_news.ts
+++ b/model/evacuation_update.ts
@@ -5,7 +5,7 @@
  */
 
 /** The data centres that are emptied, as of a position of the store. */
-export interface EvacuationNews {
+export interface EvacuationUpdate {
   /** Position of the store up to which the sender knows them. */
   readonly position: number;
   /** All data centres that are emptied. */
--- a/model/limits.ts
+++ b/model/limits.ts
@@ -11,10 +11,10 @@
 export const MAX_DEADLINE_MS = 60_000;
 
 /** How long callers may keep the list of entries, in milliseconds. */
-export const ADVICE_KEEP_MS = 5_000;
+export const ADDRESS_LIST_TTL_MS = 5_000;
 
 /** How long a ticket may be used, in milliseconds. */
-export const TICKET_KEEP_MS = 600_000;
+export const TICKET_TTL_MS = 600_000;
 
 /** Time kept back from a caller's deadline to write the answer, in milliseconds. */
 export const ANSWER_MARGIN_MS = 8;
--- a/model/mod.ts
+++ b/model/mod.ts
@@ -4,7 +4,7 @@
  * @module
  */
 export * from "./catalog_object.js";
-export type * from "./evacuation_news.js";
+export type * from "./evacuation_update.js";
 export * from "./limits.js";
 export * from "./member.js";
 export * from "./query.js";
--- a/model/query.ts
+++ b/model/query.ts
@@ -50,7 +50,7 @@
 export type Outcome = "complete" | "partial" | "refused" | "unknown";
 
 /** Why a shard is lacking from an answer. */
-export type LackReason =
+export type MissingReason =
   | "deadline"
   | "early finish"
   | "overloaded"
@@ -64,11 +64,11 @@
   | "caller gone";
 
 /** A shard that an answer lacks, and why. */
-export interface LackingShard {
+export interface MissingShard {
   /** Name of the shard. */
   readonly shard: string;
   /** Why its rows are not in the answer. */
-  readonly reason: LackReason;
+  readonly reason: MissingReason;
   /** Whether the shard's part is known not to have run. */
   readonly notRun: boolean;
 }
@@ -78,7 +78,7 @@
   /** Shards whose rows are in the answer. */
   readonly included: ReadonlyArray<string>;
   /** Shards whose rows are not. */
-  readonly lacking: ReadonlyArray<LackingShard>;
+  readonly lacking: ReadonlyArray<MissingShard>;
 }
 
 /** A row as a leaf gave it. */
--- a/peer/_codec.ts
+++ b/peer/_codec.ts
@@ -8,9 +8,9 @@
 import type { CallResult, LeafCall, LeafReport } from "../entry/entry_messages.js";
 import {
   type CatalogObject,
-  type LackReason,
   type Member,
   type MemberState,
+  type MissingReason,
   parseCatalogObject,
   type Role,
 } from "../model/mod.js";
@@ -184,7 +184,7 @@
   refused: ({ callId, reason, retryAfterMs }) => ({
     kind: "refused",
     callId,
-    reason: reason as LackReason,
+    reason: reason as MissingReason,
     retryAfterMs,
   }),
 };
@@ -197,7 +197,7 @@
  */
 export function decodeResult(message: CallResultMessage): CallResult {
   const decoder = RESULT_DECODERS[message.kind];
-  const reason = (message.reason || "leaf failed") as LackReason;
+  const reason = (message.reason || "leaf failed") as MissingReason;
   return decoder?.(message) ?? { kind: "failed", callId: message.callId, reason };
 }
 
--- a/policy/compile_policy.ts
+++ b/policy/compile_policy.ts
@@ -37,32 +37,32 @@
 /** A way to place calls. */
 export type Placement = (typeof PLACEMENTS)[number];
 
-interface Expectation {
+interface ResultConstraint {
   readonly accepts: (value: unknown) => boolean;
-  readonly wanted: string;
+  readonly expected: string;
 }
 
 /** What each decision's program must return. */
-export const EXPECTATIONS: Readonly<Record<PolicyKind, Expectation>> = {
+export const RESULT_CONSTRAINTS: Readonly<Record<PolicyKind, ResultConstraint>> = {
   place: {
     accepts: (value) => PLACEMENTS.some((placement) => placement === value),
-    wanted: 'one of "least-loaded", "nearest", "spread"',
+    expected: 'one of "least-loaded", "nearest", "spread"',
   },
   limit: {
     accepts: (value) => isNumberBetween(value, 0, 1e9),
-    wanted: "requests a second for this caller as a number of 0 (no limit) or more",
+    expected: "requests a second for this caller as a number of 0 (no limit) or more",
   },
   retry: {
     accepts: (value) => isNumberBetween(value, 0, 5),
-    wanted: "retries for each shard as a number from 0 to 5",
+    expected: "retries for each shard as a number from 0 to 5",
   },
   refuse: {
     accepts: (value) => typeof value === "string" && value.length <= 200,
-    wanted: "text: why the request is refused, empty to accept it",
+    expected: "text: why the request is refused, empty to accept it",
   },
   finish: {
     accepts: (value) => isNumberBetween(value, 0, 1),
-    wanted: "the coverage that suffices as a number from 0 to 1",
+    expected: "the coverage that suffices as a number from 0 to 1",
   },
 };
 
@@ -74,7 +74,7 @@
  */
 export function compilePolicies(sources: PolicySources): Result<Programs, PolicyError> {
   let programs: Programs = {};
-  for (const policy of Object.keys(EXPECTATIONS) as ReadonlyArray<PolicyKind>) {
+  for (const policy of Object.keys(RESULT_CONSTRAINTS) as ReadonlyArray<PolicyKind>) {
     const source = sources[policy];
     if (source === undefined) {
       continue;
@@ -117,7 +117,7 @@
         message: sample.message,
       });
     }
-    const { accepts, wanted } = EXPECTATIONS[policy];
+    const { accepts, expected: wanted } = RESULT_CONSTRAINTS[policy];
     if (!accepts(plainValue(sample))) {
       const message = `Cannot accept the result of "${policy}": expected ${wanted}`;
       return err({ kind: "policy", policy, line: 1, column: 1, message });
--- a/policy/evaluate_policy.ts
+++ b/policy/evaluate_policy.ts
@@ -4,14 +4,14 @@
  * @module
  */
 import type { PolicyKind } from "../model/mod.js";
-import { EXPECTATIONS, type Placement, type Programs } from "./compile_policy.js";
+import { type Placement, type Programs, RESULT_CONSTRAINTS } from "./compile_policy.js";
 import type { PolicyInput } from "./policy_input.js";
 
 /** What the programs decided for a request. */
 export interface PolicyDecision {
   readonly placement: Placement;
   /** Requests a second that this caller may send; 0 means no limit. */
-  readonly callerPerSecond: number;
+  readonly callerRequestsPerSecond: number;
   /** Retries for each shard. */
   readonly retries: number;
   /** Why the request is refused; empty when it is not. */
@@ -46,16 +46,18 @@
       return POLICY_DEFAULTS[policy] as T;
     }
     const result = program(input);
-    if (result.isOk() && EXPECTATIONS[policy].accepts(result.value)) {
+    if (result.isOk() && RESULT_CONSTRAINTS[policy].accepts(result.value)) {
       return result.value as T;
     }
-    const message = result.isErr() ? result.error : `expected ${EXPECTATIONS[policy].wanted}`;
+    const message = result.isErr()
+      ? result.error
+      : `expected ${RESULT_CONSTRAINTS[policy].expected}`;
     failures.push({ policy, message });
     return POLICY_DEFAULTS[policy] as T;
   }
   return {
     placement: decide<Placement>("place"),
-    callerPerSecond: decide<number>("limit"),
+    callerRequestsPerSecond: decide<number>("limit"),
     retries: Math.floor(decide<number>("retry")),
     refusal: decide<string>("refuse"),
     finishCoverage: decide<number>("finish"),
--- a/pool/leaf_condition.ts
+++ b/pool/leaf_condition.ts
@@ -6,7 +6,7 @@
  */
 import { logInfo } from "../core/mod.js";
 import type { LeafReport } from "../entry/entry_messages.js";
-import { updateSteadyMean } from "../latency/mod.js";
+import { updateClampedMean } from "../latency/mod.js";
 import type { LeafSignal } from "./pool_messages.js";
 import type { LeafCondition, LeafState } from "./pool_state.js";
 
@@ -92,7 +92,7 @@
 export function noteAnswer(state: LeafState, tookMs: number): LeafState {
   return {
     ...state,
-    serviceTimeMs: updateSteadyMean(state.serviceTimeMs, Math.max(SHORTEST_MS, tookMs), {
+    serviceTimeMs: updateClampedMean(state.serviceTimeMs, Math.max(SHORTEST_MS, tookMs), {
       outlierFactor: OUTLIER_FACTOR,
     }),
     warmSlots: Math.min(state.leaf.slots, state.warmSlots + 1),
--- a/pool/pool_core.ts
+++ b/pool/pool_core.ts
@@ -9,7 +9,7 @@
 import { fromTransition } from "xstate";
 import { type ControlOptions, isControlEvent, stepControl } from "../control/mod.js";
 import { andThen, type CoreEvent, countOne, forEachStep, logInfo, step } from "../core/mod.js";
-import { lifecyclePhase, moveLifecycle } from "../lifecycle/mod.js";
+import { lifecyclePhase, transitionLifecycle } from "../lifecycle/mod.js";
 import { dispatchNext } from "./flight_queue.js";
 import { cancelCall, endFlight, putLeaf } from "./flights.js";
 import {
@@ -151,7 +151,7 @@
   if (lifecyclePhase(control.lifecycle) !== "finishing" || !flights.isEmpty()) {
     return made;
   }
-  const lifecycle = moveLifecycle(control.lifecycle, "drained");
+  const lifecycle = transitionLifecycle(control.lifecycle, "drained");
   const stopped = { ...made.state, control: { ...control, lifecycle } };
   const log = logInfo("lifecycle", "is stopped");
   return { state: stopped, effects: [...made.effects, log, { kind: "stop" }] };
--- a/pool/pool_messages.ts
+++ b/pool/pool_messages.ts
@@ -7,7 +7,7 @@
 import type { ControlEffect, ControlEvent, ControlTimer } from "../control/mod.js";
 import type { SetTimerEffect, TelemetryEffect } from "../core/mod.js";
 import type { CallResult, LeafCall, LeafReport } from "../entry/entry_messages.js";
-import type { LackReason } from "../model/mod.js";
+import type { MissingReason } from "../model/mod.js";
 
 /** State that a leaf signals of itself. */
 export type LeafSignal = "ready" | "cold" | "draining";
@@ -35,12 +35,12 @@
     }
   | {
       readonly kind: "refused";
-      readonly reason: LackReason;
+      readonly reason: MissingReason;
       readonly retryAfterMs: number;
     }
   | {
       readonly kind: "failed";
-      readonly reason: LackReason;
+      readonly reason: MissingReason;
       /** Whether no byte of the call can have reached the leaf. */
       readonly notSent: boolean;
     };
--- a/pool/pool_shell.ts
+++ b/pool/pool_shell.ts
@@ -21,7 +21,7 @@
 import type { CallResult, LeafReport } from "../entry/entry_messages.js";
 import type { CallBatch, ResultBatch } from "../peer/gen/rackvale/peer/v1/peer_pb.js";
 import { decodeCall, encodeResults, listenForPeers, PushQueue } from "../peer/mod.js";
-import { platformClient } from "../platform/mod.js";
+import { createPlatformClient } from "../platform/mod.js";
 import { startTelemetry } from "../telemetry/mod.js";
 import { poolLogic } from "./pool_core.js";
 import type { PoolEffect, PoolEvent } from "./pool_messages.js";
@@ -76,7 +76,7 @@
   }
 
   const control = controlShell({
-    platform: platformClient(settings.platform),
+    platform: createPlatformClient(settings.platform),
     telemetry,
     send,
     nowMs,
--- a/pool/take_call.ts
+++ b/pool/take_call.ts
@@ -7,7 +7,7 @@
 import { countOne, step } from "../core/mod.js";
 import type { CallResult, LeafCall } from "../entry/entry_messages.js";
 import { fnv1a } from "../hashing/mod.js";
-import type { LackReason } from "../model/mod.js";
+import type { MissingReason } from "../model/mod.js";
 import { queueCall } from "./flight_queue.js";
 import { joinFlight, putLeaf } from "./flights.js";
 import { expectedWaitMs, reportLeaf, setCondition } from "./leaf_condition.js";
@@ -107,7 +107,7 @@
 }
 
 interface Refusal {
-  readonly reason: LackReason;
+  readonly reason: MissingReason;
   readonly retryAfterMs: number;
 }
 
@@ -115,7 +115,7 @@
  * Why calls are refused in each condition.
  */
 export const CONDITION_REASONS: Readonly<
-  Record<Exclude<LeafState["condition"], "ready">, LackReason>
+  Record<Exclude<LeafState["condition"], "ready">, MissingReason>
 > = {
   cold: "no replica",
   draining: "leaving",
--- a/quarantine/_told_records.ts
+++ b/quarantine/_published_records.ts
@@ -9,7 +9,7 @@
  * Losses from which on other boxes are told whatever became of the request: a single one is most often a leaf
  * that ended by itself, and another leaf answers in its place.
  */
-export const LEAST_TOLD_LOSSES = 2;
+export const MIN_PUBLISHED_CRASHES = 2;
 
 /** Share of the records told that are the latest changes. */
 const LATEST_SHARE = 0.75;
@@ -20,8 +20,8 @@
  * @param record - The record.
  * @returns Whether they are.
  */
-export function isTold({ standing, hasFailed, lostLeafs }: CrashRecord): boolean {
-  return standing !== "suspected" || hasFailed || lostLeafs >= LEAST_TOLD_LOSSES;
+export function shouldPublish({ standing, hasFailed, lostLeafs }: CrashRecord): boolean {
+  return standing !== "suspected" || hasFailed || lostLeafs >= MIN_PUBLISHED_CRASHES;
 }
 
 /**
@@ -32,9 +32,9 @@
  * @param before - What was believed, if anything.
  * @returns Whether they are.
  */
-export function isNews(record: CrashRecord, before: CrashRecord | undefined): boolean {
-  if (before === undefined || !isTold(before)) {
-    return isTold(record);
+export function shouldPublishNow(record: CrashRecord, before: CrashRecord | undefined): boolean {
+  if (before === undefined || !shouldPublish(before)) {
+    return shouldPublish(record);
   }
   return record.standing !== before.standing || record.lostTrials !== before.lostTrials;
 }
@@ -47,7 +47,7 @@
  *   by chance, so that each is told in the end.
  * @returns Those that go.
  */
-export function pickTold(
+export function selectForPublishing(
   all: ReadonlyArray<CrashRecord>,
   most: number,
 ): ReadonlyArray<CrashRecord> {
--- a/quarantine/crash_record.ts
+++ b/quarantine/crash_record.ts
@@ -10,13 +10,13 @@
  */
 
 /** What is believed of a query. */
-export type Standing = "suspected" | "quarantined" | "cleared";
+export type CrashStatus = "suspected" | "quarantined" | "cleared";
 
 /** A query under which leafs were lost. */
 export interface CrashRecord {
   /** Tells the query from others. */
   readonly fingerprint: string;
-  readonly standing: Standing;
+  readonly standing: CrashStatus;
   /** Leafs lost under it since it was last cleared. */
   readonly lostLeafs: number;
   /** Those of them that were asked alone, after the first loss. */
@@ -30,7 +30,7 @@
 }
 
 /** Losses below which a query is not quarantined: a request to one leaf and its retry lose two by bad luck. */
-export const LEAST_LOST_LEAFS = 3;
+export const MIN_CRASHED_LEAFS = 3;
 
 /**
  * Lost trials below which it is not quarantined: a leaf that another query ends takes all with it that it
@@ -39,7 +39,7 @@
 const LEAST_LOST_TRIALS = 2;
 
 /** Time after which a record that has not changed is dropped, by what is believed, in milliseconds. */
-export const KEPT_MS: Readonly<Record<Standing, number>> = {
+export const RETENTION_MS: Readonly<Record<CrashStatus, number>> = {
   suspected: 600_000,
   quarantined: 86_400_000,
   // Longer than news of the suspicion can be on its way.
@@ -47,7 +47,7 @@
 };
 
 /** A leaf's connection that ended before its answer. */
-export interface LostLeaf {
+export interface LeafCrash {
   readonly fingerprint: string;
   /** Whether it was asked alone, after the first loss. */
   readonly isTrial: boolean;
@@ -61,9 +61,9 @@
  * @param lost - The loss.
  * @returns What is believed now.
  */
-export function noteLostLeaf(
+export function recordLeafCrash(
   record: CrashRecord | undefined,
-  { fingerprint, isTrial, nowMs }: LostLeaf,
+  { fingerprint, isTrial, nowMs }: LeafCrash,
 ): CrashRecord {
   if (record === undefined || record.standing === "cleared") {
     const first = { lostLeafs: 1, lostTrials: 0, hasFailed: false };
@@ -72,7 +72,7 @@
   }
   const lostLeafs = record.lostLeafs + 1;
   const lostTrials = record.lostTrials + (isTrial ? 1 : 0);
-  const isProved = lostLeafs >= LEAST_LOST_LEAFS && lostTrials >= LEAST_LOST_TRIALS;
+  const isProved = lostLeafs >= MIN_CRASHED_LEAFS && lostTrials >= LEAST_LOST_TRIALS;
   const standing = isProved ? "quarantined" : record.standing;
   return { ...record, standing, lostLeafs, lostTrials, changedAtMs: nowMs };
 }
@@ -106,7 +106,7 @@
  * @param nowMs - The present moment.
  * @returns What is told.
  */
-export function tellRecord(
+export function toReportedCrashes(
   { fingerprint, standing, lostLeafs, lostTrials, suspectedAtMs, changedAtMs }: CrashRecord,
   nowMs: number,
 ): ReportedCrashes {
@@ -122,7 +122,7 @@
  * @param nowMs - The present moment.
  * @returns What it believes now; its own record where nothing new was told.
  */
-export function mergeTold(
+export function mergeReported(
   own: CrashRecord | undefined,
   { suspectedAgoMs, changedAgoMs, ...rest }: ReportedCrashes,
   nowMs: number,
--- a/quarantine/quarantine.ts
+++ b/quarantine/quarantine.ts
@@ -8,29 +8,34 @@
  *
  * @module
  */
-import { isNews, isTold, LEAST_TOLD_LOSSES, pickTold } from "./_told_records.js";
+import {
+  MIN_PUBLISHED_CRASHES,
+  selectForPublishing,
+  shouldPublish,
+  shouldPublishNow,
+} from "./_published_records.js";
 import {
   type CrashRecord,
   clearRecord,
-  KEPT_MS,
-  LEAST_LOST_LEAFS,
-  mergeTold,
-  noteLostLeaf,
+  MIN_CRASHED_LEAFS,
+  mergeReported,
+  RETENTION_MS,
   type ReportedCrashes,
-  tellRecord,
+  recordLeafCrash,
+  toReportedCrashes,
 } from "./crash_record.js";
 import { RecentAnswers } from "./recent_answers.js";
 
 /** How a query's next call may go. */
-export type Calling =
+export type CallPermission =
   /** Like any other. */
-  | "freely"
+  | "unrestricted"
   /** As the only one of the query that this box sends until it has ended. */
-  | "alone"
+  | "exclusive"
   /** Not yet: such a call is under way. */
-  | "later"
+  | "deferred"
   /** Not at all for now. */
-  | "held";
+  | "blocked";
 
 /**
  * Time after the first loss for which any box may try a suspect that has lost three leafs, in milliseconds. All
@@ -64,9 +69,9 @@
   readonly record: CrashRecord;
   readonly before: CrashRecord | undefined;
   /** What changed it: what this box saw, or what it was told. */
-  readonly source: "own" | "told";
+  readonly source: "own" | "reported";
   /** Whether other boxes are to know. */
-  readonly isNews: boolean;
+  readonly publishNow: boolean;
 }
 
 /** What the quarantine needs of its box. */
@@ -79,7 +84,7 @@
 }
 
 /** A leaf that was lost under a query. */
-export interface LostCall {
+export interface CrashedCall {
   readonly fingerprint: string;
   readonly isTrial: boolean;
 }
@@ -106,21 +111,21 @@
    * @param fingerprint - The query.
    * @returns How it may go.
    */
-  calling(fingerprint: string): Calling {
+  permission(fingerprint: string): CallPermission {
     const record = this.#records.get(fingerprint);
     if (record === undefined || record.standing === "cleared") {
-      return "freely";
+      return "unrestricted";
     }
     const nowMs = this.#options.nowMs();
     if (isBarred(record, nowMs)) {
-      return "held";
+      return "blocked";
     }
     if (this.#isTried(fingerprint, nowMs)) {
-      return "later";
+      return "deferred";
     }
     const isYoung = nowMs - record.suspectedAtMs < TRIAL_ANYWHERE_MS;
-    const isWeak = record.lostLeafs < LEAST_LOST_LEAFS;
-    return isYoung || isWeak || this.#options.isTrialBox(fingerprint) ? "alone" : "held";
+    const isWeak = record.lostLeafs < MIN_CRASHED_LEAFS;
+    return isYoung || isWeak || this.#options.isTrialBox(fingerprint) ? "exclusive" : "blocked";
   }
 
   /**
@@ -160,14 +165,14 @@
    *
    * @param fingerprint - The query.
    */
-  noteAnswered(fingerprint: string): void {
+  recordAnswer(fingerprint: string): void {
     const nowMs = this.#options.nowMs();
-    this.#answers.note(fingerprint, nowMs);
+    this.#answers.add(fingerprint, nowMs);
     const record = this.#records.get(fingerprint);
     if (record === undefined || record.standing === "cleared") {
       return;
     }
-    if (isTold(record)) {
+    if (shouldPublish(record)) {
       this.#set(clearRecord(record, nowMs), "own");
     } else {
       this.#records.delete(fingerprint);
@@ -179,13 +184,13 @@
    *
    * @param lost - The query, and whether the leaf was asked alone.
    */
-  noteLost({ fingerprint, isTrial }: LostCall): void {
+  recordCrash({ fingerprint, isTrial }: CrashedCall): void {
     const nowMs = this.#options.nowMs();
     if (this.#answers.has(fingerprint, nowMs)) {
       return;
     }
     const record = this.#records.get(fingerprint);
-    this.#set(noteLostLeaf(record, { fingerprint, isTrial, nowMs }), "own");
+    this.#set(recordLeafCrash(record, { fingerprint, isTrial, nowMs }), "own");
   }
 
   /**
@@ -194,7 +199,7 @@
    *
    * @param fingerprint - The query.
    */
-  noteFailed(fingerprint: string): void {
+  recordFailedRequest(fingerprint: string): void {
     const record = this.#records.get(fingerprint);
     if (record?.standing === "suspected" && !record.hasFailed) {
       this.#set({ ...record, hasFailed: true }, "own");
@@ -207,7 +212,7 @@
    * @param told - Queries under which leafs were lost.
    * @returns Whether any of it was new.
    */
-  hear(told: ReadonlyArray<ReportedCrashes>): boolean {
+  applyReports(told: ReadonlyArray<ReportedCrashes>): boolean {
     const nowMs = this.#options.nowMs();
     return told.filter((each) => this.#hearOne(each, nowMs)).length > 0;
   }
@@ -217,21 +222,21 @@
    *
    * @param fingerprint - The query.
    */
-  hearHeld(fingerprint: string): void {
+  applyRemoteBlock(fingerprint: string): void {
     const seen = {
-      lostLeafs: LEAST_TOLD_LOSSES,
+      lostLeafs: MIN_PUBLISHED_CRASHES,
       lostTrials: 0,
       suspectedAgoMs: 0,
       changedAgoMs: 0,
     };
-    this.hear([{ fingerprint, standing: "suspected", ...seen }]);
+    this.applyReports([{ fingerprint, standing: "suspected", ...seen }]);
   }
 
   /** A query that was answered here of late is cleared: the other box could not know of it. */
   #hearOne(told: ReportedCrashes, nowMs: number): boolean {
     const own = this.#records.get(told.fingerprint);
-    const merged = mergeTold(own, told, nowMs);
-    const isKept = nowMs - merged.changedAtMs < KEPT_MS[merged.standing];
+    const merged = mergeReported(own, told, nowMs);
+    const isKept = nowMs - merged.changedAtMs < RETENTION_MS[merged.standing];
     if (merged === own || !isKept) {
       return false;
     }
@@ -239,7 +244,7 @@
     if (merged.standing !== "cleared" && isAnswered) {
       this.#set(clearRecord(merged, nowMs), "own");
     } else {
-      this.#set(merged, "told");
+      this.#set(merged, "reported");
     }
     return true;
   }
@@ -251,14 +256,14 @@
    *   by chance, so that each is told in the end.
    * @returns What they are told.
    */
-  tell(most: number): ReadonlyArray<ReportedCrashes> {
+  selectReports(most: number): ReadonlyArray<ReportedCrashes> {
     if (this.#records.size === 0) {
       return [];
     }
     this.#dropOld();
     const nowMs = this.#options.nowMs();
-    const all = [...this.#records.values()].filter(isTold);
-    return pickTold(all, most).map((record) => tellRecord(record, nowMs));
+    const all = [...this.#records.values()].filter(shouldPublish);
+    return selectForPublishing(all, most).map((record) => toReportedCrashes(record, nowMs));
   }
 
   /** What is believed of queries at this moment. */
@@ -273,7 +278,7 @@
    * @param fingerprint - The query.
    * @returns Whether there was anything to clear.
    */
-  lift(fingerprint: string): boolean {
+  clear(fingerprint: string): boolean {
     const record = this.#records.get(fingerprint);
     if (record === undefined || record.standing === "cleared") {
       return false;
@@ -294,13 +299,18 @@
     this.#records.delete(fingerprint);
     this.#records.set(fingerprint, record);
     this.#dropSurplus();
-    this.#options.onChange({ record, before, source, isNews: isNews(record, before) });
+    this.#options.onChange({
+      record,
+      before,
+      source,
+      publishNow: shouldPublishNow(record, before),
+    });
   }
 
   #dropOld(): void {
     const nowMs = this.#options.nowMs();
     for (const [fingerprint, { standing, changedAtMs }] of this.#records) {
-      if (nowMs - changedAtMs >= KEPT_MS[standing]) {
+      if (nowMs - changedAtMs >= RETENTION_MS[standing]) {
         this.#records.delete(fingerprint);
       }
     }
--- a/quarantine/recent_answers.ts
+++ b/quarantine/recent_answers.ts
@@ -23,7 +23,7 @@
    * @param fingerprint - The query.
    * @param nowMs - The present moment.
    */
-  note(fingerprint: string, nowMs: number): void {
+  add(fingerprint: string, nowMs: number): void {
     this.#turn(nowMs);
     this.#current.add(fingerprint);
   }
--- a/query/snapshot_group.ts
+++ b/query/snapshot_group.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import { Map as ImmutableMap } from "immutable";
-import type { LackReason, Row, SnapshotSpec } from "../model/mod.js";
+import type { MissingReason, Row, SnapshotSpec } from "../model/mod.js";
 
 /** What became of one shard. */
 export type ShardOutcome =
   | { readonly kind: "included"; readonly rows: ReadonlyArray<Row> }
-  | { readonly kind: "lacking"; readonly reason: LackReason; readonly notRun: boolean };
+  | { readonly kind: "lacking"; readonly reason: MissingReason; readonly notRun: boolean };
 
 /** The shards of a pinned snapshot. */
 export interface SnapshotGroup {
@@ -57,7 +57,7 @@
  * @param group - The group.
  * @returns Share of shards included, 0 to 1.
  */
-export function coveredShare(group: SnapshotGroup): number {
+export function coverageRatio(group: SnapshotGroup): number {
   return group.includedCount / group.shards.length;
 }
 
--- a/query/summarise_group.ts
+++ b/query/summarise_group.ts
@@ -3,7 +3,14 @@
  *
  * @module
  */
-import type { Coverage, LackingShard, LackReason, MergeSpec, Outcome, Row } from "../model/mod.js";
+import type {
+  Coverage,
+  MergeSpec,
+  MissingReason,
+  MissingShard,
+  Outcome,
+  Row,
+} from "../model/mod.js";
 import { mergeRows } from "./merge_rows.js";
 import type { SnapshotGroup } from "./snapshot_group.js";
 
@@ -20,7 +27,7 @@
 export interface SummariseOptions {
   readonly merge: MergeSpec;
   /** Why shards that are not settled are lacking. */
-  readonly unsettledReason: LackReason;
+  readonly unsettledReason: MissingReason;
   /** Tells whether nothing of a shard that is not settled has been sent. */
   readonly unsettledNotRun: (shard: string) => boolean;
 }
@@ -34,7 +41,7 @@
  */
 export function summariseGroup(group: SnapshotGroup, options: SummariseOptions): GroupSummary {
   const included: Array<string> = [];
-  const lacking: Array<LackingShard> = [];
+  const lacking: Array<MissingShard> = [];
   const parts: Array<ReadonlyArray<Row>> = [];
   for (const shard of group.shards) {
     const outcome = group.settled.get(shard);
--- a/relay/_lost_part_of.ts
+++ b/relay/_failed_part_of.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { AttemptOutcome, LostPart } from "../request/mod.js";
+import type { AttemptOutcome, FailedPart } from "../request/mod.js";
 
 /**
  * Tells why a call brought no part.
@@ -11,25 +11,25 @@
  * @param outcome - How the call ended.
  * @returns Why there is none; nothing where there is one.
  */
-export function lostPartOf(outcome: AttemptOutcome): LostPart | undefined {
-  return (LOST_PARTS[outcome.kind] as (outcome: AttemptOutcome) => LostPart | undefined)(outcome);
+export function failedPartOf(outcome: AttemptOutcome): FailedPart | undefined {
+  return (LOST_PARTS[outcome.kind] as (outcome: AttemptOutcome) => FailedPart | undefined)(outcome);
 }
 
 const LOST_PARTS: {
   readonly [K in AttemptOutcome["kind"]]: (
     outcome: Extract<AttemptOutcome, { readonly kind: K }>,
-  ) => LostPart | undefined;
+  ) => FailedPart | undefined;
 } = {
   answered: ({ answer: { signature, statusCode } }) => {
     return statusCode >= 200 && statusCode < 300 && signature !== "" ? undefined : "failed";
   },
   refused: () => "refused",
-  failed: ({ barrier, connectionLost = false, sent }) => {
+  failed: ({ blockReason: barrier, connectionClosed: connectionLost = false, sent }) => {
     if (connectionLost) {
       return "connection lost";
     }
     if (barrier?.kind === "quarantined") {
-      return "held";
+      return "blocked";
     }
     return sent ? "failed" : "declined";
   },
--- a/relay/_ordered_call.ts
+++ b/relay/_leaf_call_template.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-import { type LeafCall, mostAnswerBytes } from "../calls/mod.js";
+import { type LeafCall, maxAnswerBytes } from "../calls/mod.js";
 import { requestFingerprint } from "../quarantine/mod.js";
-import { type RelayOrder, servicesOf } from "./relay_order.js";
+import { type RelayRequest, servicesOf } from "./relay_request.js";
 
 /** What all calls of an order share. */
-export type OrderedCall = Omit<LeafCall, "leaf" | "deadlineAtMs">;
+export type LeafCallTemplate = Omit<LeafCall, "leaf" | "deadlineAtMs">;
 
 /**
  * Makes what the calls of an order share.
@@ -16,15 +16,15 @@
  * @param order - The order.
  * @returns The calls' common part; only requests without a body are ordered.
  */
-export function orderedCall(order: RelayOrder): OrderedCall {
+export function leafCallTemplate(order: RelayRequest): LeafCallTemplate {
   const { requestId, method, path, headers } = order;
   const body = undefined;
   const host = hostOf(headers);
   const fingerprint = requestFingerprint({ method, caller: host, path, body });
   const routeKey = { host, path };
   const content = { requestId, method, path, headers, body, fingerprint, routeKey };
-  const mostBytes = mostAnswerBytes(servicesOf(order).length);
-  return { ...content, mostBytes, repeatable: true, isTrial: false };
+  const mostBytes = maxAnswerBytes(servicesOf(order).length);
+  return { ...content, maxBytes: mostBytes, repeatable: true, isTrial: false };
 }
 
 function hostOf(headers: ReadonlyArray<string>): string {
--- a/relay/_merged_relay.ts
+++ b/relay/_merged_relay.ts
@@ -8,18 +8,23 @@
 import type { OpenCall } from "../calls/mod.js";
 import {
   chooseLeaf,
+  INITIAL_LEAF_HEALTH,
   isFull,
-  isSilent,
-  type LeafCondition,
-  NEW_CONDITION,
+  isUnresponsive,
+  type LeafHealth,
   queueMs,
 } from "../leafs/mod.js";
-import { type AttemptOutcome, type LostPart, mergeRecords, recordFloor } from "../request/mod.js";
-import { lostPartOf } from "./_lost_part_of.js";
-import { type OrderedCall, orderedCall } from "./_ordered_call.js";
+import {
+  type AttemptOutcome,
+  type FailedPart,
+  mergeRecords,
+  recordThreshold,
+} from "../request/mod.js";
+import { failedPartOf } from "./_failed_part_of.js";
+import { type LeafCallTemplate, leafCallTemplate } from "./_leaf_call_template.js";
 import type { Relay, RelayServerOptions } from "./_relay.js";
-import { encodeRelayed } from "./relay_frames.js";
-import type { MergedOrder } from "./relay_order.js";
+import { encodeRelayFrame } from "./relay_frames.js";
+import type { MergedRelayRequest } from "./relay_request.js";
 
 /**
  * The first frame goes when the leafs asked have had this many times their usual time, so that one
@@ -45,13 +50,13 @@
 
 /** One order for merged parts under way. */
 export class MergedRelay implements Relay {
-  readonly #order: MergedOrder;
+  readonly #order: MergedRelayRequest;
   readonly #response: ServerResponse;
   readonly #options: RelayServerOptions;
-  readonly #call: OrderedCall;
+  readonly #call: LeafCallTemplate;
   readonly #open = new Set<OpenCall>();
   #waiting: Array<NearPart> = [];
-  #lost = new Map<string, LostPart>();
+  #lost = new Map<string, FailedPart>();
   #openCount = 0;
   #hasFlushed = false;
   /** Waits at the leafs asked, in milliseconds, until they are told with the first frame. */
@@ -60,9 +65,9 @@
   #handedOver: Buffer = Buffer.alloc(0);
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(order: MergedOrder, response: ServerResponse, options: RelayServerOptions) {
+  constructor(order: MergedRelayRequest, response: ServerResponse, options: RelayServerOptions) {
     this.#order = order;
-    this.#call = orderedCall(order);
+    this.#call = leafCallTemplate(order);
     this.#response = response;
     this.#options = options;
   }
@@ -73,7 +78,7 @@
       usualMs = Math.max(usualMs, this.#ask(service));
     }
     this.#tellLost();
-    const patienceMs = Math.min(this.#order.patienceMs, usualMs * PATIENCE_FACTOR + PATIENCE_MS);
+    const patienceMs = Math.min(this.#order.waitLimitMs, usualMs * PATIENCE_FACTOR + PATIENCE_MS);
     this.#timer = setTimeout(() => this.#endPatience(), patienceMs);
     this.#endIfDone();
   }
@@ -87,21 +92,24 @@
 
   /** Asks a near leaf; tells how long it usually takes, 0 where there is none. */
   #ask(service: string): number {
-    const { access, calls, distance, leafs, nowMs, waitedMs } = this.#options;
+    const { access, calls, distance, leafs, nowMs, eventLoopIdleMs: waitedMs } = this.#options;
     const near = (leafs().byService.get(service) ?? []).filter((leaf) => {
-      return distance(leaf) !== "far" && access.barrierTo(leaf, this.#call.routeKey) === undefined;
+      return (
+        distance(leaf) !== "remote" &&
+        access.blockReasonForLeaf(leaf, this.#call.routeKey) === undefined
+      );
     });
     const now = nowMs();
-    const mostQueueMs = this.#order.patienceMs * MOST_QUEUE_PATIENCES;
+    const mostQueueMs = this.#order.waitLimitMs * MOST_QUEUE_PATIENCES;
     const sound = near.filter((leaf) => {
-      const condition = calls.condition(leaf.leafId) ?? NEW_CONDITION;
+      const condition = calls.health(leaf.leafId) ?? INITIAL_LEAF_HEALTH;
       const isShort = !isFull(condition, leaf) || queueMs(leaf, condition, now) <= mostQueueMs;
       return isShort && isSound(condition, { nowMs: now, waitedMs: waitedMs() });
     });
     const chosen = chooseLeaf(sound, {
       nowMs: now,
-      waitedMs: waitedMs(),
-      condition: (leafId) => calls.condition(leafId),
+      eventLoopIdleMs: waitedMs(),
+      health: (leafId) => calls.health(leafId),
       distance,
       isCold: (leafId) => access.isCold(leafId),
       excluded: NONE,
@@ -122,11 +130,11 @@
       },
     );
     this.#open.add(open);
-    return chosen.usualMs;
+    return chosen.typicalLatencyMs;
   }
 
   #take(service: string, outcome: AttemptOutcome): void {
-    const why = lostPartOf(outcome);
+    const why = failedPartOf(outcome);
     if (why !== undefined) {
       this.#lost.set(service, why);
       this.#tellLost();
@@ -173,7 +181,7 @@
     const records = this.#newRecords(parts.map(({ body }) => body));
     const queueMs = this.#takeQueue();
     this.#response.write(
-      encodeRelayed({ signatures, records, lost, queueMs }, this.#order.services),
+      encodeRelayFrame({ signatures, records, failed: lost, queueMs }, this.#order.services),
     );
   }
 
@@ -188,8 +196,8 @@
   #newRecords(bodies: ReadonlyArray<Buffer>): Buffer {
     const { topRecords } = this.#order;
     const all = [this.#handedOver, ...bodies];
-    const leastRecord = recordFloor(all, { topRecords });
-    const records = mergeRecords(bodies, { topRecords, leastRecord });
+    const leastRecord = recordThreshold(all, { topRecords });
+    const records = mergeRecords(bodies, { topRecords, minRecord: leastRecord });
     this.#handedOver = mergeRecords(all, { topRecords });
     return records;
   }
@@ -205,14 +213,14 @@
 
 const NONE: ReadonlySet<string> = new Set();
 
-const NOTHING_YET = encodeRelayed(
-  { signatures: new Map(), records: Buffer.alloc(0), lost: new Map() },
+const NOTHING_YET = encodeRelayFrame(
+  { signatures: new Map(), records: Buffer.alloc(0), failed: new Map() },
   [],
 );
 
 function isSound(
-  condition: LeafCondition,
+  condition: LeafHealth,
   { nowMs, waitedMs }: { readonly nowMs: number; readonly waitedMs: number },
 ): boolean {
-  return condition.avoidUntilMs <= nowMs && !isSilent(condition, waitedMs);
+  return condition.avoidUntilMs <= nowMs && !isUnresponsive(condition, waitedMs);
 }
--- a/relay/_relay.ts
+++ b/relay/_relay.ts
@@ -12,12 +12,12 @@
 export interface RelayServerOptions {
   readonly nowMs: () => number;
   /** Stands still while this box is busy. */
-  readonly waitedMs: () => number;
+  readonly eventLoopIdleMs: () => number;
   readonly calls: LeafCalls;
   readonly leafs: () => LeafTable;
   readonly distance: (leaf: Leaf) => Distance;
   /** Tells which leafs may be called; by what this box knows itself. */
-  readonly access: Pick<LeafAccess, "barrierTo" | "isCold">;
+  readonly access: Pick<LeafAccess, "blockReasonForLeaf" | "isCold">;
   /** Told how many parts were handed over. */
   readonly onParts: (count: number) => void;
 }
--- a/relay/_order_reader.ts
+++ b/relay/_relay_response_reader.ts
@@ -5,8 +5,8 @@
  */
 import type { Dispatcher } from "undici";
 import type { RelayedParts } from "../request/mod.js";
-import { RelayedReader } from "./relay_frames.js";
-import { type RelayOrder, servicesOf } from "./relay_order.js";
+import { RelayFrameReader } from "./relay_frames.js";
+import { type RelayRequest, servicesOf } from "./relay_request.js";
 
 /** Told what comes of an order. */
 export interface RelayListener {
@@ -18,9 +18,9 @@
 type Noted = "answered" | "failed" | "abandoned";
 
 /** Told what becomes of an order, beside the one who gave it. */
-export interface OrderWatcher {
+export interface RelayObserver {
   /** Told once whether the box answers. */
-  onNoted(result: Noted): void;
+  onResult(result: Noted): void;
   /** Told how long calls wait at the leafs near the box, in milliseconds, when it answers first. */
   onQueue(queueMs: number): void;
   /** Told once when the order is over. */
@@ -28,10 +28,10 @@
 }
 
 /** Reads the frames of one order; the box counts as answering from its first one on. */
-export class OrderReader implements Dispatcher.DispatchHandler {
+export class RelayResponseReader implements Dispatcher.DispatchHandler {
   readonly #listener: RelayListener;
-  readonly #watcher: OrderWatcher;
-  readonly #frames: RelayedReader;
+  readonly #watcher: RelayObserver;
+  readonly #frames: RelayFrameReader;
   #controller: Dispatcher.DispatchController | undefined;
   #noted = false;
   #ended = false;
@@ -41,14 +41,14 @@
    * @param listener - Told what comes of it.
    * @param watcher - Told how the box behaves.
    */
-  constructor(order: RelayOrder, listener: RelayListener, watcher: OrderWatcher) {
+  constructor(order: RelayRequest, listener: RelayListener, watcher: RelayObserver) {
     this.#listener = listener;
     this.#watcher = watcher;
-    this.#frames = new RelayedReader(servicesOf(order));
+    this.#frames = new RelayFrameReader(servicesOf(order));
   }
 
   /** Whether the box has answered anything. */
-  get isHeard(): boolean {
+  get hasResponded(): boolean {
     return this.#noted;
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Ends the order because nothing more is to be expected of its connection. */
-  breakOff(): void {
+  fail(): void {
     this.#noteOnce("failed");
     this.#end();
     this.#controller?.abort(new Error("broken off"));
@@ -100,7 +100,7 @@
   #noteOnce(result: Noted): void {
     if (!this.#noted) {
       this.#noted = true;
-      this.#watcher.onNoted(result);
+      this.#watcher.onResult(result);
     }
   }
 
--- a/relay/_separate_relay.ts
+++ b/relay/_separate_relay.ts
@@ -5,31 +5,31 @@
  */
 import type { ServerResponse } from "node:http";
 import type { OpenCall } from "../calls/mod.js";
-import { isFull, NEW_CONDITION } from "../leafs/mod.js";
+import { INITIAL_LEAF_HEALTH, isFull } from "../leafs/mod.js";
 import {
   type AttemptOutcome,
-  type LostPart,
+  type FailedPart,
   mergeRecords,
   type RelayedParts,
 } from "../request/mod.js";
-import { lostPartOf } from "./_lost_part_of.js";
-import { type OrderedCall, orderedCall } from "./_ordered_call.js";
+import { failedPartOf } from "./_failed_part_of.js";
+import { type LeafCallTemplate, leafCallTemplate } from "./_leaf_call_template.js";
 import type { Relay, RelayServerOptions } from "./_relay.js";
-import { encodeRelayed } from "./relay_frames.js";
-import { type SeparateCall, type SeparateOrder, servicesOf } from "./relay_order.js";
+import { encodeRelayFrame } from "./relay_frames.js";
+import { type SeparateCall, type SeparateRelayRequest, servicesOf } from "./relay_request.js";
 
 /** One order for separate parts under way. */
 export class SeparateRelay implements Relay {
-  readonly #order: SeparateOrder;
+  readonly #order: SeparateRelayRequest;
   readonly #response: ServerResponse;
   readonly #options: RelayServerOptions;
-  readonly #call: OrderedCall;
+  readonly #call: LeafCallTemplate;
   readonly #open = new Set<OpenCall>();
   #openCount = 0;
 
-  constructor(order: SeparateOrder, response: ServerResponse, options: RelayServerOptions) {
+  constructor(order: SeparateRelayRequest, response: ServerResponse, options: RelayServerOptions) {
     this.#order = order;
-    this.#call = orderedCall(order);
+    this.#call = leafCallTemplate(order);
     this.#response = response;
     this.#options = options;
   }
@@ -53,11 +53,11 @@
   #ask({ service, leafId }: SeparateCall): boolean {
     const { access, calls, leafs, nowMs } = this.#options;
     const leaf = leafs().byId.get(leafId);
-    const condition = calls.condition(leafId) ?? NEW_CONDITION;
-    if (leaf === undefined || leaf.draining || condition.gone || isFull(condition, leaf)) {
+    const condition = calls.health(leafId) ?? INITIAL_LEAF_HEALTH;
+    if (leaf === undefined || leaf.draining || condition.terminated || isFull(condition, leaf)) {
       return false;
     }
-    if (access.barrierTo(leaf, this.#call.routeKey) !== undefined) {
+    if (access.blockReasonForLeaf(leaf, this.#call.routeKey) !== undefined) {
       return false;
     }
     const { leftMs } = this.#order;
@@ -72,31 +72,31 @@
   }
 
   #take(service: string, outcome: AttemptOutcome): void {
-    const why = lostPartOf(outcome);
+    const why = failedPartOf(outcome);
     if (why !== undefined) {
       this.#tellLost([service], why);
     } else if (outcome.kind === "answered" && !this.#response.destroyed) {
       const { signature, body } = outcome.answer;
-      const { topRecords, leastRecord } = this.#order;
-      const records = mergeRecords([body], { topRecords, leastRecord });
+      const { topRecords, minRecord: leastRecord } = this.#order;
+      const records = mergeRecords([body], { topRecords, minRecord: leastRecord });
       const signatures = new Map([[service, signature]]);
-      this.#response.write(this.#encode({ signatures, records, lost: new Map() }));
+      this.#response.write(this.#encode({ signatures, records, failed: new Map() }));
       this.#options.onParts(1);
     }
     this.#endIfDone();
   }
 
   /** Says of services that they have no part, so that the box that asked need not wait for one. */
-  #tellLost(services: ReadonlyArray<string>, why: LostPart): void {
+  #tellLost(services: ReadonlyArray<string>, why: FailedPart): void {
     if (services.length > 0 && !this.#response.destroyed) {
       const records = Buffer.alloc(0);
       const lost = new Map(services.map((service) => [service, why]));
-      this.#response.write(this.#encode({ signatures: new Map(), records, lost }));
+      this.#response.write(this.#encode({ signatures: new Map(), records, failed: lost }));
     }
   }
 
   #encode(parts: RelayedParts): Buffer {
-    return encodeRelayed(parts, servicesOf(this.#order));
+    return encodeRelayFrame(parts, servicesOf(this.#order));
   }
 
   #endIfDone(): void {
--- a/relay/merged_relay_test.ts
+++ b/relay/merged_relay_test.ts
@@ -1,17 +1,17 @@
 import type { ServerResponse } from "node:http";
 import t from "tap";
 import type { LeafCalls } from "../calls/mod.js";
-import { type Leaf, type LeafCondition, NEW_CONDITION } from "../leafs/mod.js";
+import { INITIAL_LEAF_HEALTH, type Leaf, type LeafHealth } from "../leafs/mod.js";
 import type { AttemptOutcome, RelayedParts } from "../request/mod.js";
 import { MergedRelay } from "./_merged_relay.js";
-import { RelayedReader } from "./relay_frames.js";
-import type { MergedOrder } from "./relay_order.js";
+import { RelayFrameReader } from "./relay_frames.js";
+import type { MergedRelayRequest } from "./relay_request.js";
 
 const SERVICES = ["s1", "s2"];
 
-const ORDER: MergedOrder = {
+const ORDER: MergedRelayRequest = {
   ...{ kind: "merged", requestId: "r", method: "GET", path: "/x", headers: [] },
-  ...{ topRecords: 5, leftMs: 1_000, services: SERVICES, patienceMs: 50 },
+  ...{ topRecords: 5, leftMs: 1_000, services: SERVICES, waitLimitMs: 50 },
 };
 
 function leafOf(service: string): Leaf {
@@ -29,17 +29,17 @@
 }
 
 /** Runs an order against leafs of which each is in a condition; calls end as the test says. */
-function startOrder(condition: Partial<LeafCondition>) {
+function startOrder(condition: Partial<LeafHealth>) {
   const ends = new Map<string, (outcome: AttemptOutcome) => void>();
   const told: Array<RelayedParts> = [];
-  const reader = new RelayedReader(SERVICES);
+  const reader = new RelayFrameReader(SERVICES);
   const response = {
     destroyed: false,
     write: (bytes: Buffer) => told.push(...reader.read(bytes)),
     end: () => undefined,
   } as unknown as ServerResponse;
   const calls = {
-    condition: () => ({ ...NEW_CONDITION, ...condition }),
+    condition: () => ({ ...INITIAL_LEAF_HEALTH, ...condition }),
     send: ({ leaf }: { readonly leaf: Leaf }, onEnd: (outcome: AttemptOutcome) => void) => {
       ends.set(leaf.service, onEnd);
       return { abandon: () => undefined, withdraw: () => undefined };
@@ -47,14 +47,14 @@
   } as unknown as LeafCalls;
   const leafs = SERVICES.map(leafOf);
   const relay = new MergedRelay(ORDER, response, {
-    ...{ nowMs: () => 0, waitedMs: () => 0, calls, onParts: () => undefined },
+    ...{ nowMs: () => 0, eventLoopIdleMs: () => 0, calls, onParts: () => undefined },
     leafs: () => ({
       byId: new Map(leafs.map((leaf) => [leaf.leafId, leaf])),
       byService: new Map(leafs.map((leaf) => [leaf.service, [leaf]])),
-      dropAtMs: new Map(),
+      expiresAtMs: new Map(),
     }),
     distance: () => "zone",
-    access: { barrierTo: () => undefined, isCold: () => false },
+    access: { blockReasonForLeaf: () => undefined, isCold: () => false },
   });
   relay.start();
   t.teardown(() => relay.stop());
@@ -64,18 +64,18 @@
 t.test("a leaf's refusal or failure is told at once, before the patience is over", async (t) => {
   const { ends, told } = startOrder({});
   ends.get("s1")?.({ kind: "refused", reason: "full" });
-  t.same(told.at(-1)?.lost, new Map([["s1", "refused"]]));
+  t.same(told.at(-1)?.failed, new Map([["s1", "refused"]]));
   ends.get("s2")?.({ kind: "failed", sent: true, reason: "reset" });
-  t.same(told.at(-1)?.lost, new Map([["s2", "failed"]]));
+  t.same(told.at(-1)?.failed, new Map([["s2", "failed"]]));
 });
 
 /** Calls that this box has open at a leaf, more than it has slots. */
-const OPEN_CALLS = Array.from({ length: 5 }, (_, callId) => ({ callId, sentAtWaitedMs: 0 }));
+const OPEN_CALLS = Array.from({ length: 5 }, (_, callId) => ({ callId, sentAtIdleMs: 0 }));
 
 t.test("a leaf that this box keeps full is asked while the wait is short", async (t) => {
   const short = startOrder({ openCalls: OPEN_CALLS, workMs: 20 });
   t.same([...short.ends.keys()], SERVICES);
   const long = startOrder({ openCalls: OPEN_CALLS, workMs: 80 });
   t.same([...long.ends.keys()], []);
-  t.same([...(long.told[0]?.lost.values() ?? [])], ["declined", "declined"]);
+  t.same([...(long.told[0]?.failed.values() ?? [])], ["declined", "declined"]);
 });
--- a/relay/mod.ts
+++ b/relay/mod.ts
@@ -3,8 +3,9 @@
  *
  * @module
  */
-export type { RelayListener } from "./_order_reader.js";
+
 export type { RelayServerOptions } from "./_relay.js";
+export type { RelayListener } from "./_relay_response_reader.js";
 export * from "./relay_calls.js";
-export * from "./relay_order.js";
+export * from "./relay_request.js";
 export * from "./relay_server.js";
--- a/relay/relay_calls.ts
+++ b/relay/relay_calls.ts
@@ -5,10 +5,16 @@
  */
 import { Pool } from "undici";
 import type { OpenCall } from "../calls/mod.js";
-import { isSilent, type LeafCondition, NEW_CONDITION, noteEnded, noteSent } from "../leafs/mod.js";
+import {
+  INITIAL_LEAF_HEALTH,
+  isUnresponsive,
+  type LeafHealth,
+  recordCallEnd,
+  recordCallSent,
+} from "../leafs/mod.js";
 import type { Member } from "../model/mod.js";
-import { OrderReader, type RelayListener } from "./_order_reader.js";
-import { encodeOrder, type RelayOrder } from "./relay_order.js";
+import { type RelayListener, RelayResponseReader } from "./_relay_response_reader.js";
+import { encodeRelayRequest, type RelayRequest } from "./relay_request.js";
 import { RELAY_PATH } from "./relay_server.js";
 
 /** Connections to one other box; each carries one order at a time. */
@@ -37,7 +43,7 @@
 export interface ChosenBox {
   readonly member: Member;
   /** Time in which it usually answers, in milliseconds. */
-  readonly usualMs: number;
+  readonly typicalLatencyMs: number;
 }
 
 /** What a box told of the leafs near it. */
@@ -48,7 +54,7 @@
 
 /** An order that has not ended. */
 interface OpenOrder {
-  readonly reader: OrderReader;
+  readonly reader: RelayResponseReader;
   readonly pool: Pool;
   readonly origin: string;
   /** Moment at which its connection is given up if nothing has come in on it. */
@@ -61,9 +67,9 @@
 export interface RelayCallsOptions {
   readonly nowMs: () => number;
   /** Tells the moment by a clock that stands still while this box is busy, in milliseconds. */
-  readonly waitedMs: () => number;
+  readonly eventLoopIdleMs: () => number;
   /** Told when an order is sent and none was open. */
-  readonly onBusy?: () => void;
+  readonly onActive?: () => void;
 }
 
 /** Orders to other boxes, and how these have behaved. */
@@ -72,7 +78,7 @@
   readonly #waitedMs: () => number;
   readonly #onBusy: () => void;
   readonly #pools = new Map<string, Pool>();
-  readonly #conditions = new Map<string, LeafCondition>();
+  readonly #conditions = new Map<string, LeafHealth>();
   readonly #queues = new Map<string, ToldQueue>();
   readonly #open = new Map<number, OpenOrder>();
   #nextCallId = 1;
@@ -80,7 +86,11 @@
   /**
    * @param options - What the orders need of their box.
    */
-  constructor({ nowMs, waitedMs, onBusy = () => undefined }: RelayCallsOptions) {
+  constructor({
+    nowMs,
+    eventLoopIdleMs: waitedMs,
+    onActive: onBusy = () => undefined,
+  }: RelayCallsOptions) {
     this.#nowMs = nowMs;
     this.#waitedMs = waitedMs;
     this.#onBusy = onBusy;
@@ -103,12 +113,12 @@
     let bestLoad = Number.POSITIVE_INFINITY;
     for (const member of members) {
       const condition = this.#conditionOf(member);
-      const isAvoided = condition.avoidUntilMs > now || isSilent(condition, this.#waitedMs());
+      const isAvoided = condition.avoidUntilMs > now || isUnresponsive(condition, this.#waitedMs());
       // Ties fall to a random box, so that boxes that start together do not all ask the same one.
       const load = condition.openCalls.length + Math.random();
       if (!isAvoided && load < bestLoad) {
         const usualMs = condition.meanMs === 0 ? UNKNOWN_MS : condition.meanMs;
-        best = { member, usualMs };
+        best = { member, typicalLatencyMs: usualMs };
         bestLoad = load;
       }
     }
@@ -140,15 +150,15 @@
    * @param listener - Told what comes of it.
    * @returns The order under way.
    */
-  send(member: Member, order: RelayOrder, listener: RelayListener): OpenCall {
+  send(member: Member, order: RelayRequest, listener: RelayListener): OpenCall {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const sent = noteSent(this.#conditionOf(member), { callId, waitedMs: this.#waitedMs() });
+    const sent = recordCallSent(this.#conditionOf(member), { callId, waitedMs: this.#waitedMs() });
     this.#conditions.set(member.memberId, sent);
-    const reader = new OrderReader(order, listener, {
-      onNoted: (result) => {
-        const end = { callId, nowMs: this.#nowMs(), waitedMs: this.#waitedMs(), result };
-        this.#conditions.set(member.memberId, noteEnded(this.#conditionOf(member), end));
+    const reader = new RelayResponseReader(order, listener, {
+      onResult: (result) => {
+        const end = { callId, nowMs: this.#nowMs(), eventLoopIdleMs: this.#waitedMs(), result };
+        this.#conditions.set(member.memberId, recordCallEnd(this.#conditionOf(member), end));
       },
       onQueue: (queueMs) => {
         this.#queues.set(member.memberId, { queueMs, atMs: this.#nowMs() });
@@ -167,7 +177,7 @@
       {
         method: "POST",
         path: RELAY_PATH,
-        body: encodeOrder(order),
+        body: encodeRelayRequest(order),
         headersTimeout: 0,
         bodyTimeout: 0,
       },
@@ -181,22 +191,22 @@
    * Breaks off the orders whose deadline has passed, and those on connections that seem to have gone
    * silent. The other connections to that box may be silent as well, so none of them is used again.
    */
-  dropOverdue(): void {
+  abortOverdue(): void {
     const nowMs = this.#nowMs();
     for (const { origin, overdueAtMs, pool, reader, silentAtMs } of [...this.#open.values()]) {
-      const isSilent = !reader.isHeard && nowMs > silentAtMs;
+      const isSilent = !reader.hasResponded && nowMs > silentAtMs;
       if (isSilent && this.#pools.get(origin) === pool) {
         this.#pools.delete(origin);
         void pool.close();
       }
       if (isSilent || nowMs > overdueAtMs) {
-        reader.breakOff();
+        reader.fail();
       }
     }
   }
 
-  #conditionOf({ memberId }: Member): LeafCondition {
-    return this.#conditions.get(memberId) ?? NEW_CONDITION;
+  #conditionOf({ memberId }: Member): LeafHealth {
+    return this.#conditions.get(memberId) ?? INITIAL_LEAF_HEALTH;
   }
 
   #poolOf(origin: string): Pool {
@@ -219,8 +229,8 @@
 }
 
 /** Where each part comes by itself, nothing needs to come before the leafs have answered. */
-function silentMoment(order: RelayOrder, nowMs: number): number {
+function silentMoment(order: RelayRequest, nowMs: number): number {
   return order.kind === "merged"
-    ? nowMs + order.patienceMs + SILENT_MS
+    ? nowMs + order.waitLimitMs + SILENT_MS
     : nowMs + order.leftMs + OVERDUE_MS;
 }
--- a/relay/relay_calls_test.ts
+++ b/relay/relay_calls_test.ts
@@ -6,15 +6,15 @@
 import { sampleMember } from "../standins/sample_member.js";
 import { until } from "../standins/waiting.js";
 import { RelayCalls } from "./relay_calls.js";
-import { encodeRelayed } from "./relay_frames.js";
-import type { MergedOrder } from "./relay_order.js";
+import { encodeRelayFrame } from "./relay_frames.js";
+import type { MergedRelayRequest } from "./relay_request.js";
 
 const LOOPBACK = "127.0.0.1";
 
 /** Above the patience of `ORDER` and all slack on top of it, in milliseconds. */
 const LONG_MS = 5_000;
 
-const ORDER: MergedOrder = {
+const ORDER: MergedRelayRequest = {
   kind: "merged",
   requestId: "r1",
   method: "GET",
@@ -23,7 +23,7 @@
   topRecords: 5,
   leftMs: 2_000,
   services: ["s"],
-  patienceMs: 50,
+  waitLimitMs: 50,
 };
 
 /** A box that answers, but not on connections that were made silent. */
@@ -34,8 +34,8 @@
   const server = createServer((request, response) => {
     if (!silent.has(request.socket)) {
       const signatures = new Map([["s", "stamp"]]);
-      const parts = { signatures, records: Buffer.alloc(16), lost: new Map() };
-      response.end(encodeRelayed(parts, ["s"]));
+      const parts = { signatures, records: Buffer.alloc(16), failed: new Map() };
+      response.end(encodeRelayFrame(parts, ["s"]));
       return;
     }
     unanswered += 1;
@@ -73,7 +73,7 @@
   async (t) => {
     const { countUnanswered, member, silence } = await startBox(t);
     let nowMs = 0;
-    const relays = new RelayCalls({ nowMs: () => nowMs, waitedMs: () => nowMs });
+    const relays = new RelayCalls({ nowMs: () => nowMs, eventLoopIdleMs: () => nowMs });
     t.equal(await send(relays, member), true, "the first order is answered");
     silence();
     // The connection is free again only after its answer has been taken.
@@ -82,7 +82,7 @@
     await until(async () => countUnanswered() === 1, "the order has reached the box");
     nowMs += LONG_MS;
     t.equal(relays.choose([member]), undefined, "a box that is silent is passed over");
-    relays.dropOverdue();
+    relays.abortOverdue();
     t.equal(await lost, false, "the order on the silent connection ends without parts");
     nowMs += LONG_MS;
     t.equal(relays.choose([member])?.member, member, "the box is chosen again");
@@ -93,9 +93,9 @@
 t.test("dropOverdue() leaves orders alone that have time left", async (t) => {
   const { member } = await startBox(t);
   let nowMs = 0;
-  const relays = new RelayCalls({ nowMs: () => nowMs, waitedMs: () => nowMs });
+  const relays = new RelayCalls({ nowMs: () => nowMs, eventLoopIdleMs: () => nowMs });
   const answered = send(relays, member);
-  nowMs += ORDER.patienceMs;
-  relays.dropOverdue();
+  nowMs += ORDER.waitLimitMs;
+  relays.abortOverdue();
   t.equal(await answered, true);
 });
