--- a/relay/relay_frames.ts
+++ b/relay/relay_frames.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
-import type { LostPart, RelayedParts } from "../request/mod.js";
+import type { FailedPart, RelayedParts } from "../request/mod.js";
 
 /**
  * What stands before the records: places of services with signatures by turns, the wait at the leafs in
@@ -20,12 +20,12 @@
 ];
 
 /** Reasons in the order in which a frame's head lists them. */
-const REASONS: ReadonlyArray<LostPart> = [
+const REASONS: ReadonlyArray<FailedPart> = [
   "declined",
   "refused",
   "failed",
   "connection lost",
-  "held",
+  "blocked",
 ];
 
 const LENGTH_BYTES = 4;
@@ -46,7 +46,7 @@
  * @param services - Services of the order, in its own sequence.
  * @returns The frame.
  */
-export function encodeRelayed(parts: RelayedParts, services: ReadonlyArray<string>): Buffer {
+export function encodeRelayFrame(parts: RelayedParts, services: ReadonlyArray<string>): Buffer {
   const { records } = parts;
   const plain = Buffer.from(JSON.stringify(frameHead(parts, services)));
   const isDeflated = plain.length > SHORT_HEAD_BYTES;
@@ -58,7 +58,7 @@
 }
 
 function frameHead(
-  { signatures, lost, queueMs = 0 }: RelayedParts,
+  { signatures, failed: lost, queueMs = 0 }: RelayedParts,
   services: ReadonlyArray<string>,
 ): FrameHead {
   const place = (service: string): number => services.indexOf(service);
@@ -77,7 +77,7 @@
 const INFLATE_LIMIT = { maxOutputLength: MAX_FRAME_BYTES } as const;
 
 /** Puts frames together again from bytes as they come in. */
-export class RelayedReader {
+export class RelayFrameReader {
   readonly #services: ReadonlyArray<string>;
   #waiting: Buffer = Buffer.alloc(0);
 
@@ -135,13 +135,13 @@
     for (let index = 0; index + 1 < named.length; index += 2) {
       signatures.set(this.#serviceAt(named[index]), String(named[index + 1]));
     }
-    const lost = new Map<string, LostPart>();
+    const lost = new Map<string, FailedPart>();
     for (const [index, reason] of REASONS.entries()) {
       for (const place of lists[index] ?? []) {
         lost.set(this.#serviceAt(place), reason);
       }
     }
-    return { signatures, records, lost, queueMs };
+    return { signatures, records, failed: lost, queueMs };
   }
 
   #serviceAt(place: number | string | undefined): string {
--- a/relay/relay_frames_test.ts
+++ b/relay/relay_frames_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import t from "tap";
-import type { LostPart, RelayedParts } from "../request/mod.js";
-import { encodeRelayed, RelayedReader } from "./relay_frames.js";
+import type { FailedPart, RelayedParts } from "../request/mod.js";
+import { encodeRelayFrame, RelayFrameReader } from "./relay_frames.js";
 
 const SERVICES = Array.from({ length: 12 }, (_, index) => `service ${index}`);
 
@@ -11,11 +11,11 @@
   signatures: fc
     .array(fc.tuple(SERVICE, fc.string({ maxLength: 30 })))
     .map((pairs) => new Map(pairs)),
-  lost: fc
+  failed: fc
     .array(
       fc.tuple(
         SERVICE,
-        fc.constantFrom<LostPart>("declined", "refused", "failed", "connection lost", "held"),
+        fc.constantFrom<FailedPart>("declined", "refused", "failed", "connection lost", "blocked"),
       ),
     )
     .map((pairs) => new Map(pairs)),
@@ -26,15 +26,15 @@
 t.test("frames are read as they were written, however their bytes are cut", async (t) => {
   fc.assert(
     fc.property(fc.array(PARTS, { maxLength: 4 }), fc.integer({ min: 1, max: 50 }), (all, cut) => {
-      const bytes = Buffer.concat(all.map((parts) => encodeRelayed(parts, SERVICES)));
-      const reader = new RelayedReader(SERVICES);
+      const bytes = Buffer.concat(all.map((parts) => encodeRelayFrame(parts, SERVICES)));
+      const reader = new RelayFrameReader(SERVICES);
       const read: Array<RelayedParts> = [];
       for (let at = 0; at < bytes.length; at += cut) {
         read.push(...reader.read(bytes.subarray(at, at + cut)));
       }
       const plain = (parts: RelayedParts) => ({
         signatures: [...parts.signatures],
-        lost: [...parts.lost].toSorted(),
+        lost: [...parts.failed].toSorted(),
         records: parts.records.toString("hex"),
         queueMs: parts.queueMs,
       });
@@ -48,7 +48,7 @@
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 300 }), (bytes) => {
       try {
-        const read = new RelayedReader(SERVICES).read(Buffer.from(bytes));
+        const read = new RelayFrameReader(SERVICES).read(Buffer.from(bytes));
         return read.every(({ signatures }) => {
           return [...signatures.keys()].every((service) => SERVICES.includes(service));
         });
@@ -63,5 +63,7 @@
 
 t.test("a frame longer than any query's parts is refused before it is held", async (t) => {
   const lengths = Buffer.from([0x7f, 0xff, 0xff, 0xff, 0, 0, 0, 0]);
-  t.throws(() => new RelayedReader(SERVICES).read(lengths), { message: /Cannot read a frame of/ });
+  t.throws(() => new RelayFrameReader(SERVICES).read(lengths), {
+    message: /Cannot read a frame of/,
+  });
 });
--- a/relay/relay_fuzz_test.ts
+++ b/relay/relay_fuzz_test.ts
@@ -2,8 +2,8 @@
 import fc from "fast-check";
 import t from "tap";
 import { spoiltValue } from "../standins/spoilt_value.js";
-import { RelayedReader } from "./relay_frames.js";
-import { decodeOrder, encodeOrder, type RelayOrder } from "./relay_order.js";
+import { RelayFrameReader } from "./relay_frames.js";
+import { decodeRelayRequest, encodeRelayRequest, type RelayRequest } from "./relay_request.js";
 
 const REQUEST = ["r1", "GET", "/a/", ["Host", "h"], 5, 800];
 const MERGED = ["merged", ...REQUEST, ["s1", "s2"], 40];
@@ -15,10 +15,10 @@
   return values.every((value) => typeof value === "string");
 }
 
-function isWhole(order: RelayOrder): boolean {
+function isWhole(order: RelayRequest): boolean {
   const { headers, leftMs, method, path, requestId, topRecords } = order;
   const hasPairs = headers.length % 2 === 0;
-  const own = order.kind === "merged" ? [order.patienceMs] : [];
+  const own = order.kind === "merged" ? [order.waitLimitMs] : [];
   const services =
     order.kind === "merged"
       ? order.services
@@ -33,7 +33,7 @@
   async (t) => {
     fc.assert(
       fc.property(SPOILT, (data) => {
-        const order = decodeOrder(deflateRawSync(JSON.stringify(data)));
+        const order = decodeRelayRequest(deflateRawSync(JSON.stringify(data)));
         return order === undefined || isWhole(order);
       }),
       { numRuns: 3_000, seed: 29 },
@@ -51,14 +51,14 @@
     topRecords: 1,
     leftMs: 9,
   };
-  const order = { kind: "merged", ...request, services: ["s"], patienceMs: 3 } as const;
-  t.same(decodeOrder(encodeOrder(order)), order);
+  const order = { kind: "merged", ...request, services: ["s"], waitLimitMs: 3 } as const;
+  t.same(decodeRelayRequest(encodeRelayRequest(order)), order);
 });
 
 t.test("a reader of frames holds no more than a frame, whatever bytes come", async (t) => {
   fc.assert(
     fc.property(fc.array(fc.uint8Array({ maxLength: 64 }), { maxLength: 20 }), (chunks) => {
-      const reader = new RelayedReader(["s1", "s2"]);
+      const reader = new RelayFrameReader(["s1", "s2"]);
       try {
         for (const chunk of chunks) {
           reader.read(Buffer.from(chunk));
--- a/relay/relay_order.ts
+++ b/relay/relay_request.ts
@@ -23,19 +23,19 @@
 }
 
 /** Asks for one part of each service, merged; the box picks the leafs. */
-export interface MergedOrder extends OrderedRequest {
+export interface MergedRelayRequest extends OrderedRequest {
   readonly kind: "merged";
   readonly services: ReadonlyArray<string>;
   /** Longest time to wait before what has come in is handed over, in whole milliseconds. */
-  readonly patienceMs: number;
+  readonly waitLimitMs: number;
 }
 
 /** Asks the leafs named, and for each part by itself as soon as it is in. */
-export interface SeparateOrder extends OrderedRequest {
+export interface SeparateRelayRequest extends OrderedRequest {
   readonly kind: "separate";
   readonly calls: ReadonlyArray<SeparateCall>;
   /** Records below this one are not wanted. */
-  readonly leastRecord: Buffer | undefined;
+  readonly minRecord: Buffer | undefined;
 }
 
 /** One leaf that is to be asked. */
@@ -45,7 +45,7 @@
 }
 
 /** What a box asks another for. */
-export type RelayOrder = MergedOrder | SeparateOrder;
+export type RelayRequest = MergedRelayRequest | SeparateRelayRequest;
 
 /**
  * What an order must hold, in this sequence. A box that took it as it comes would end under one whose
@@ -70,12 +70,12 @@
 const ORDER_FIELDS = z.union([MERGED_FIELDS, SEPARATE_FIELDS]);
 
 const ORDER_ENCODERS: {
-  readonly [K in RelayOrder["kind"]]: (
-    order: Extract<RelayOrder, { readonly kind: K }>,
+  readonly [K in RelayRequest["kind"]]: (
+    order: Extract<RelayRequest, { readonly kind: K }>,
   ) => ReadonlyArray<unknown>;
 } = {
-  merged: ({ services, patienceMs }) => [services, patienceMs],
-  separate: ({ calls, leastRecord }) => [
+  merged: ({ services, waitLimitMs: patienceMs }) => [services, patienceMs],
+  separate: ({ calls, minRecord: leastRecord }) => [
     calls.map(({ service }) => service),
     calls.map(({ leafId }) => leafId),
     leastRecord?.toString("base64") ?? "",
@@ -88,9 +88,9 @@
  * @param order - The order.
  * @returns Its bytes.
  */
-export function encodeOrder(order: RelayOrder): Buffer {
+export function encodeRelayRequest(order: RelayRequest): Buffer {
   const { kind, requestId, method, path, headers, topRecords, leftMs } = order;
-  const encode = ORDER_ENCODERS[kind] as (order: RelayOrder) => ReadonlyArray<unknown>;
+  const encode = ORDER_ENCODERS[kind] as (order: RelayRequest) => ReadonlyArray<unknown>;
   const fields = [kind, requestId, method, path, headers, topRecords, leftMs, ...encode(order)];
   return deflateRawSync(JSON.stringify(fields));
 }
@@ -101,17 +101,17 @@
  * @param order - The order.
  * @returns The services, in the order's own sequence.
  */
-export function servicesOf(order: RelayOrder): ReadonlyArray<string> {
+export function servicesOf(order: RelayRequest): ReadonlyArray<string> {
   return order.kind === "merged" ? order.services : order.calls.map(({ service }) => service);
 }
 
-function mergedOrder(fields: z.infer<typeof MERGED_FIELDS>): MergedOrder {
+function mergedOrder(fields: z.infer<typeof MERGED_FIELDS>): MergedRelayRequest {
   const [kind, requestId, method, path, headers, topRecords, leftMs, services, patienceMs] = fields;
   const request = { requestId, method, path, headers, topRecords, leftMs };
-  return { kind, ...request, services, patienceMs };
+  return { kind, ...request, services, waitLimitMs: patienceMs };
 }
 
-function separateOrder(fields: z.infer<typeof SEPARATE_FIELDS>): SeparateOrder | undefined {
+function separateOrder(fields: z.infer<typeof SEPARATE_FIELDS>): SeparateRelayRequest | undefined {
   const [kind, requestId, method, path, headers, topRecords, leftMs, services, ...rest] = fields;
   const [leafIds, least] = rest;
   if (leafIds.length !== services.length) {
@@ -119,7 +119,17 @@
   }
   const leastRecord = least === "" ? undefined : Buffer.from(least, "base64");
   const calls = services.map((service, index) => ({ service, leafId: leafIds[index] ?? "" }));
-  return { kind, requestId, method, path, headers, topRecords, leftMs, calls, leastRecord };
+  return {
+    kind,
+    requestId,
+    method,
+    path,
+    headers,
+    topRecords,
+    leftMs,
+    calls,
+    minRecord: leastRecord,
+  };
 }
 
 /**
@@ -128,7 +138,7 @@
  * @param body - Its bytes.
  * @returns The order, or nothing where it is none.
  */
-export function decodeOrder(body: Buffer): RelayOrder | undefined {
+export function decodeRelayRequest(body: Buffer): RelayRequest | undefined {
   try {
     const plain = inflateRawSync(body, { maxOutputLength: MAX_ORDER_BYTES });
     const fields = ORDER_FIELDS.safeParse(JSON.parse(plain.toString("utf8")));
--- a/relay/relay_server.ts
+++ b/relay/relay_server.ts
@@ -7,14 +7,14 @@
 import { MergedRelay } from "./_merged_relay.js";
 import type { Relay, RelayServerOptions } from "./_relay.js";
 import { SeparateRelay } from "./_separate_relay.js";
-import { decodeOrder, type RelayOrder } from "./relay_order.js";
+import { decodeRelayRequest, type RelayRequest } from "./relay_request.js";
 
 /** Path at which other boxes ask. */
 export const RELAY_PATH = "/peer/v1/parts";
 
 const RELAYS: {
-  readonly [K in RelayOrder["kind"]]: (
-    order: Extract<RelayOrder, { readonly kind: K }>,
+  readonly [K in RelayRequest["kind"]]: (
+    order: Extract<RelayRequest, { readonly kind: K }>,
     response: ServerResponse,
     options: RelayServerOptions,
   ) => Relay;
@@ -30,7 +30,7 @@
  * @param response - Where the frames go.
  * @param options - What the server needs of its box.
  */
-export function answerRelay(
+export function handleRelayRequest(
   request: IncomingMessage,
   response: ServerResponse,
   options: RelayServerOptions,
@@ -38,14 +38,14 @@
   const chunks: Array<Buffer> = [];
   request.on("data", (chunk: Buffer) => chunks.push(chunk));
   request.on("end", () => {
-    const order = decodeOrder(Buffer.concat(chunks));
+    const order = decodeRelayRequest(Buffer.concat(chunks));
     if (order === undefined) {
       response.writeHead(400).end();
       return;
     }
     beginFrames(response);
     const make = RELAYS[order.kind] as (
-      order: RelayOrder,
+      order: RelayRequest,
       response: ServerResponse,
       options: RelayServerOptions,
     ) => Relay;
--- a/replay/main.ts
+++ b/replay/main.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import { LOAD_PATTERNS, type LoadPattern, MECHANISMS, type Mechanism, runReplay } from "./mod.js";
 
 const USAGE = "Usage: npm run replay -- [--pattern NAME] [--without NAME,NAME] [--seeds N]";
@@ -13,10 +13,10 @@
 const SPECS = {
   pattern: { kind: "text", help: "Load pattern; all by default", fallback: "" },
   without: { kind: "text", help: "Mechanisms to go without, by commas", fallback: "" },
-  seeds: { kind: "number", help: "Seeds to run", fallback: "3", least: 1, most: 1_000 },
+  seeds: { kind: "number", help: "Seeds to run", fallback: "3", min: 1, max: 1_000 },
 } as const;
 
-const { settings } = settingsOrExit(USAGE, SPECS);
+const { settings } = parseSettingsOrExit(USAGE, SPECS);
 const wanted = settings.without.split(",").filter((name) => name !== "");
 const unknown = wanted.find((name) => !MECHANISMS.some((mechanism) => mechanism === name));
 const patterns = Object.entries(LOAD_PATTERNS).filter(([name]) => {
--- a/replay/replay_box.ts
+++ b/replay/replay_box.ts
@@ -4,18 +4,18 @@
  * @module
  */
 
-import { noteLook, type QueueLooks, standingQueueMs } from "../admission/mod.js";
+import { addQueueSample, persistentQueueMs, type QueueSamples } from "../admission/mod.js";
 import { ExtraCallBudgets } from "../extra_calls/mod.js";
 import {
   type CallEnd,
   chooseLeaf,
+  INITIAL_LEAF_HEALTH,
   isFull,
-  isSilent,
+  isUnresponsive,
   type Leaf,
-  type LeafCondition,
-  NEW_CONDITION,
-  noteEnded,
-  noteSent,
+  type LeafHealth,
+  recordCallEnd,
+  recordCallSent,
 } from "../leafs/mod.js";
 import type { ExtraCallKind } from "../limits/mod.js";
 import type { AttemptOutcome, LeafAnswer } from "../request/mod.js";
@@ -72,9 +72,9 @@
 export class ReplayBox {
   readonly #options: ReplayBoxOptions;
   readonly #leafs: ReadonlyMap<string, Leaf>;
-  readonly #conditions = new Map<string, LeafCondition>();
+  readonly #conditions = new Map<string, LeafHealth>();
   #budgets: ExtraCallBudgets;
-  readonly #looks = new Map<string, QueueLooks>();
+  readonly #looks = new Map<string, QueueSamples>();
   readonly #told = new Map<string, { readonly queueMs: number; readonly atMs: number }>();
   /** Moment until which the box computes and reads nothing. */
   #busyUntilMs = 0;
@@ -144,9 +144,9 @@
   /** Notes the wait at an index's leafs; tells the one that all the latest looks have found. */
   noteQueue(index: string, queueMs: number): number {
     const { nowMs } = this.#options.schedule;
-    const looks = noteLook(this.#looks.get(index) ?? [], { queueMs, atMs: nowMs });
+    const looks = addQueueSample(this.#looks.get(index) ?? [], { queueMs, atMs: nowMs });
     this.#looks.set(index, looks);
-    return this.#options.without.has("standing-queues") ? queueMs : standingQueueMs(looks);
+    return this.#options.without.has("standing-queues") ? queueMs : persistentQueueMs(looks);
   }
 
   /** Notes the wait that a box of a region has told. */
@@ -163,7 +163,7 @@
 
   /** Tells how many extra calls the budget of a service allows. */
   extraCallsLeft(service: string): number {
-    return this.#budgets.leftFor(service);
+    return this.#budgets.remaining(service);
   }
 
   /** Takes an extra call out of the budget of a service, if it allows that. */
@@ -171,7 +171,7 @@
     if (kind === "hedge" && this.#options.without.has("hedging")) {
       return false;
     }
-    return this.#budgets.take(service, kind);
+    return this.#budgets.tryTake(service, kind);
   }
 
   /** Picks a leaf; only near ones where another box asks. */
@@ -182,14 +182,20 @@
     const leafs = this.#options.leafsByService.get(service) ?? [];
     const fit = leafs.filter((leaf) => !isOnlyNear || this.#isSound(leaf));
     const { nowMs } = this.#options.schedule;
-    const distance = (leaf: Leaf) => (this.isNear(leaf) ? "zone" : "far");
-    const seen = { condition: (leafId: string) => this.#seenOf(leafId), distance, excluded };
+    const distance = (leaf: Leaf) => (this.isNear(leaf) ? "zone" : "remote");
+    const seen = { health: (leafId: string) => this.#seenOf(leafId), distance, excluded };
     const told = (leaf: Leaf) => {
       const isTold = !this.isNear(leaf) && !this.#options.without.has("told-queues");
       return isTold ? this.#toldQueueMs(leaf.dataCentre) : 0;
     };
     const objective = this.#options.without.has("objective") ? {} : { objectiveMs };
-    const view = { nowMs, waitedMs: this.waitedMs, ...seen, ...objective, toldQueueMs: told };
+    const view = {
+      nowMs,
+      eventLoopIdleMs: this.waitedMs,
+      ...seen,
+      ...objective,
+      reportedQueueMs: told,
+    };
     return chooseLeaf(fit, view);
   }
 
@@ -210,7 +216,11 @@
           this.whenFree(() => {
             const { reportedLoad } = end;
             const pace = this.#options.without.has("reported-pace") ? undefined : end.paceFactor;
-            note(RESULTS[end.kind], { reportedLoad, paceFactor: pace, slots: leaf?.slots ?? 1 });
+            note(RESULTS[end.kind], {
+              reportedLoad,
+              slowdownFactor: pace,
+              slots: leaf?.slots ?? 1,
+            });
             onEnd(OUTCOMES[end.kind]);
           });
         });
@@ -222,32 +232,32 @@
   noteSent(leafId: string): (result: CallEnd["result"], told?: ReportedLoad) => void {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const sent = noteSent(this.#conditionOf(leafId), { callId, waitedMs: this.waitedMs });
+    const sent = recordCallSent(this.#conditionOf(leafId), { callId, waitedMs: this.waitedMs });
     this.#conditions.set(leafId, sent);
     return (result, told) => {
       const { nowMs } = this.#options.schedule;
-      const end = { callId, nowMs, waitedMs: this.waitedMs, result, ...told };
-      this.#conditions.set(leafId, this.#judged(noteEnded(this.#conditionOf(leafId), end)));
+      const end = { callId, nowMs, eventLoopIdleMs: this.waitedMs, result, ...told };
+      this.#conditions.set(leafId, this.#judged(recordCallEnd(this.#conditionOf(leafId), end)));
     };
   }
 
-  #judged(condition: LeafCondition): LeafCondition {
-    return this.#options.without.has("loss-shares") ? { ...condition, lostShare: 0 } : condition;
+  #judged(condition: LeafHealth): LeafHealth {
+    return this.#options.without.has("loss-shares") ? { ...condition, failureRate: 0 } : condition;
   }
 
   #isSound(leaf: Leaf): boolean {
     const condition = this.#seenOf(leaf.leafId);
     const isWell = condition.avoidUntilMs <= this.#options.schedule.nowMs;
-    const isHeard = !isSilent(condition, this.waitedMs);
+    const isHeard = !isUnresponsive(condition, this.waitedMs);
     return this.isNear(leaf) && !isFull(condition, leaf) && isWell && isHeard;
   }
 
-  #conditionOf(leafId: string): LeafCondition {
-    return this.#conditions.get(leafId) ?? NEW_CONDITION;
+  #conditionOf(leafId: string): LeafHealth {
+    return this.#conditions.get(leafId) ?? INITIAL_LEAF_HEALTH;
   }
 
   /** What leafs are chosen by. */
-  #seenOf(leafId: string): LeafCondition {
+  #seenOf(leafId: string): LeafHealth {
     const condition = this.#conditionOf(leafId);
     const isDeaf = this.#options.without.has("silence");
     return isDeaf ? { ...condition, openCalls: condition.openCalls.map(justSent) } : condition;
@@ -276,11 +286,11 @@
 /** Load that a leaf told with an answer. */
 interface ReportedLoad {
   readonly reportedLoad: number;
-  readonly paceFactor: number | undefined;
+  readonly slowdownFactor: number | undefined;
   readonly slots: number;
 }
 
 /** As if the call had just been sent, so that its leaf never seems silent. */
-function justSent(call: LeafCondition["openCalls"][number]): LeafCondition["openCalls"][number] {
-  return { ...call, sentAtWaitedMs: Number.POSITIVE_INFINITY };
+function justSent(call: LeafHealth["openCalls"][number]): LeafHealth["openCalls"][number] {
+  return { ...call, sentAtIdleMs: Number.POSITIVE_INFINITY };
 }
--- a/replay/replay_query.ts
+++ b/replay/replay_query.ts
@@ -5,18 +5,18 @@
  */
 import {
   type AttemptOutcome,
-  type FarCall,
-  type LostPart,
-  lostPartOutcome,
+  type FailedPart,
+  failedPartOutcome,
   newRequest,
   type RelayedParts,
+  type RemoteCall,
   type Reply,
+  type RequestContext,
   type RequestEffect,
   type RequestEvent,
   type RequestState,
   type RequestTerms,
   type RequestTimer,
-  type RequestWorld,
   stepRequest,
 } from "../request/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
@@ -39,7 +39,7 @@
 }
 
 /** One try. */
-export class ReplayQuery implements RequestWorld {
+export class ReplayQuery implements RequestContext {
   readonly #options: ReplayQueryOptions;
   readonly #timers = new Map<RequestTimer, number>();
   #state: RequestState;
@@ -56,7 +56,7 @@
     return this.#options.schedule.nowMs;
   }
 
-  get waitedMs(): number {
+  get eventLoopIdleMs(): number {
     return this.#options.box.waitedMs;
   }
 
@@ -75,16 +75,22 @@
 
   chooseLeaf(service: string, excluded: ReadonlySet<string>) {
     const { box, without } = this.#options;
-    const { aimAtMs, arrivedAtMs } = this.#options.terms;
+    const { objectiveAtMs: aimAtMs, arrivedAtMs } = this.#options.terms;
     const chosen = box.choose(service, { excluded, objectiveMs: aimAtMs - arrivedAtMs });
     if (chosen === undefined) {
       return undefined;
     }
-    const { leaf, queueMs, usualMs } = chosen;
+    const { leaf, queueMs, typicalLatencyMs: usualMs } = chosen;
     const isFar = !box.isNear(leaf) && !without.has("relays");
     const relayPlace = isFar ? leaf.dataCentre : undefined;
-    const lossShare = without.has("hopeless-refusals") ? 0 : chosen.lossShare;
-    return { leafId: leaf.leafId, expectedMs: usualMs, relayPlace, queueMs, lossShare };
+    const failureRate = without.has("hopeless-refusals") ? 0 : chosen.failureRate;
+    return {
+      leafId: leaf.leafId,
+      expectedMs: usualMs,
+      relayPlace,
+      queueMs,
+      failureRate: failureRate,
+    };
   }
 
   chooseBox(relayPlace: string) {
@@ -99,17 +105,17 @@
     return this.#options.box.extraCallsLeft(service);
   }
 
-  calling(): "freely" {
-    return "freely";
+  calling(): "unrestricted" {
+    return "unrestricted";
   }
 
   beginTrial(): void {}
 
-  heldForMs(): number {
+  blockedForMs(): number {
     return 0;
   }
 
-  takeExtraCall(service: string, kind: Parameters<RequestWorld["takeExtraCall"]>[1]): boolean {
+  takeExtraCall(service: string, kind: Parameters<RequestContext["takeExtraCall"]>[1]): boolean {
     return this.#options.box.takeExtraCall(service, kind);
   }
 
@@ -132,7 +138,7 @@
     reply: ({ reply }) => this.#options.onReply(reply),
   };
 
-  #relay({ attemptId, box: place, calls, patienceMs }: Relay): void {
+  #relay({ attemptId, box: place, calls, waitLimitMs: patienceMs }: Relay): void {
     const { box, drawWorkMs, schedule, without } = this.#options;
     const near = this.#boxAt(place);
     const notes = new Map(calls.map(({ service, leafId }) => [service, box.noteSent(leafId)]));
@@ -162,10 +168,10 @@
     for (const note of notes.values()) {
       note("abandoned");
     }
-    this.take({ kind: "attemptEnded", attemptId, outcome: lostPartOutcome("failed") });
+    this.take({ kind: "attemptEnded", attemptId, outcome: failedPartOutcome("failed") });
   }
 
-  #askThrough(place: string, calls: ReadonlyArray<FarCall>): void {
+  #askThrough(place: string, calls: ReadonlyArray<RemoteCall>): void {
     const { box, drawWorkMs, schedule } = this.#options;
     const near = this.#boxAt(place);
     for (const { attemptId, leafId } of calls) {
@@ -202,12 +208,12 @@
 type Relay = Extract<RequestEffect, { readonly kind: "relay" }>;
 
 /** What a lost part says of the leaf that was expected to be asked. */
-const LOST_RESULTS: Readonly<Record<LostPart, "full" | "failed">> = {
+const LOST_RESULTS: Readonly<Record<FailedPart, "full" | "failed">> = {
   declined: "full",
   refused: "full",
   failed: "failed",
   "connection lost": "failed",
-  held: "full",
+  blocked: "full",
 };
 
 /** Notes how the call to the leaf of a service ended. */
@@ -224,7 +230,7 @@
   for (const service of parts.signatures.keys()) {
     notes.get(service)?.("answered");
   }
-  for (const [service, why] of parts.lost) {
+  for (const [service, why] of parts.failed) {
     notes.get(service)?.(LOST_RESULTS[why]);
   }
 }
--- a/replay/replay_relay.ts
+++ b/replay/replay_relay.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { AttemptOutcome, LostPart, RelayedParts } from "../request/mod.js";
+import type { AttemptOutcome, FailedPart, RelayedParts } from "../request/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
 import type { Without } from "./mechanism.js";
 import type { ReplayBox } from "./replay_box.js";
@@ -27,9 +27,9 @@
 
 const NO_RECORDS = Buffer.alloc(0);
 
-const NONE_LOST: ReadonlyMap<string, LostPart> = new Map();
+const NONE_LOST: ReadonlyMap<string, FailedPart> = new Map();
 
-const LOST_BY_OUTCOME: Readonly<Record<AttemptOutcome["kind"], LostPart | undefined>> = {
+const LOST_BY_OUTCOME: Readonly<Record<AttemptOutcome["kind"], FailedPart | undefined>> = {
   answered: undefined,
   refused: "refused",
   failed: "failed",
@@ -79,7 +79,7 @@
       this.#endOne();
       return;
     }
-    this.#usualMs = Math.max(this.#usualMs, chosen.usualMs);
+    this.#usualMs = Math.max(this.#usualMs, chosen.typicalLatencyMs);
     this.#queuesMs.push(chosen.queueMs);
     box.send({ leafId: chosen.leaf.leafId, workMs: drawWorkMs() }, (outcome) => {
       this.#take(service, outcome);
@@ -114,14 +114,14 @@
     this.#tell(parts, NONE_LOST);
   }
 
-  #tell(services: ReadonlyArray<string>, lost: ReadonlyMap<string, LostPart>): void {
+  #tell(services: ReadonlyArray<string>, lost: ReadonlyMap<string, FailedPart>): void {
     if (services.length + lost.size === 0) {
       return;
     }
     const signatures = new Map(services.map((service) => [service, `x ${service}`]));
     const told = this.#queuesMs.length === 0 ? {} : { queueMs: middleOf(this.#queuesMs) };
     this.#queuesMs = [];
-    this.#order.onParts({ signatures, records: NO_RECORDS, lost, ...told });
+    this.#order.onParts({ signatures, records: NO_RECORDS, failed: lost, ...told });
   }
 }
 
--- a/replay/run_replay.ts
+++ b/replay/run_replay.ts
@@ -88,7 +88,7 @@
         }
       });
     }
-    while (this.#schedule.nowMs < 2 * lengthMs && this.#schedule.next()) {
+    while (this.#schedule.nowMs < 2 * lengthMs && this.#schedule.runNext()) {
       // All is done by what was planned.
     }
     return this.#account;
@@ -184,9 +184,9 @@
     const allowanceMs = this.#allowancesMs.get(kind.name) ?? Number.POSITIVE_INFINITY;
     return {
       ...{ requestId: String(this.#nextRequest++), route, arrivedAtMs, finishShare: 1 },
-      ...{ aimAtMs: arrivedAtMs + kind.aimMs, deadlineAtMs: arrivedAtMs + kind.deadlineMs },
+      ...{ objectiveAtMs: arrivedAtMs + kind.aimMs, deadlineAtMs: arrivedAtMs + kind.deadlineMs },
       maxAttempts: route.maxAttempts,
-      mostQueueMs: this.#without.has("refusals") ? Number.POSITIVE_INFINITY : allowanceMs,
+      maxQueueMs: this.#without.has("refusals") ? Number.POSITIVE_INFINITY : allowanceMs,
     };
   }
 
--- a/request/_attempts.ts
+++ b/request/_attempts.ts
@@ -5,17 +5,17 @@
  */
 import { forEachStep, type Step, step } from "../core/mod.js";
 import type { ExtraCallKind } from "../limits/mod.js";
-import { canReachLeastShare, hasLeastShareWithout } from "./_judge.js";
+import { canReachMinShare, openCallsReachMinShare } from "./_completion.js";
 import { planCalls, type RelayCall } from "./_plan.js";
-import { refusePlan, waitsOf } from "./_refusals.js";
-import { loseShard, openAttempt, updateShard } from "./_shards.js";
+import { queueLoadOf, refusePlan } from "./_refusals.js";
+import { failShard, openAttempt, updateShard } from "./_shards.js";
 import type {
-  AskingKind,
   Attempt,
+  ExtraAttemptKind,
   LeafChoice,
+  RequestContext,
   RequestEffect,
   RequestState,
-  RequestWorld,
   ShardState,
 } from "./request_state.js";
 
@@ -48,21 +48,21 @@
  * @param world - The present moment and what the box can choose from.
  * @returns The step with the calls.
  */
-export function askFirst(first: AttemptStep, world: RequestWorld): AttemptStep {
+export function sendFirstCalls(first: AttemptStep, world: RequestContext): AttemptStep {
   const plan = planCalls(first.state, world);
-  const waits = waitsOf(plan, first.state, world);
-  const refused = refusePlan(first, { plan, waits, world });
+  const waits = queueLoadOf(plan, first.state, world);
+  const refused = refusePlan(first, { plan, queueLoad: waits, world });
   if (refused !== undefined) {
     return refused;
   }
-  if (world.calling() !== "freely") {
+  if (world.calling() !== "unrestricted") {
     return askOneByOne(first, world);
   }
   const crowded = waits.queueMs > waits.mostQueueMs;
   const { direct, relays, unserved } = plan;
-  const without = unserved.reduce(loseShard, { ...first.state, crowded });
+  const without = unserved.reduce(failShard, { ...first.state, congested: crowded });
   const { target } = without.terms.route;
-  if (target.kind === "gather" && !canReachLeastShare(without, target)) {
+  if (target.kind === "gather" && !canReachMinShare(without, target)) {
     // Nothing is sent, so that the refusal can say that the request has not run.
     return { ...first, state: without };
   }
@@ -76,41 +76,54 @@
  * Lets all shards wait for their turn, of which there is one at a time: leafs were lost under the query.
  * The first answer makes it one like any other.
  */
-function askOneByOne(first: AttemptStep, world: RequestWorld): AttemptStep {
+function askOneByOne(first: AttemptStep, world: RequestContext): AttemptStep {
   return forEachStep(first, first.state.shards.keys(), (now, shardIndex) => {
-    return askOrWait(now, { shardIndex, world, kind: "replacement" });
+    return retryOrDefer(now, { shardIndex, world, kind: "replacement" });
   });
 }
 
 function sendRelay(
   state: RequestState,
   { box, calls }: RelayCall,
-  world: RequestWorld,
+  world: RequestContext,
 ): AttemptStep {
   const attemptId = state.nextAttemptId;
   const { expectedMs } = box;
-  const { aimAtMs, arrivedAtMs, deadlineAtMs } = state.terms;
+  const { objectiveAtMs: aimAtMs, arrivedAtMs, deadlineAtMs } = state.terms;
   const aimMs = aimAtMs - arrivedAtMs;
-  const patienceMs = aimMs * RELAY_PATIENCE_AIM_SHARE;
-  const leastMs = Math.min(aimMs * RELAY_LATEST_AIM_SHARE, patienceMs + RELAY_WAY_MS);
-  const attempt: Attempt = { attemptId, asked: box.box, ...startOf(world), expectedMs, leastMs };
+  const waitLimitMs = aimMs * RELAY_PATIENCE_AIM_SHARE;
+  const leastMs = Math.min(aimMs * RELAY_LATEST_AIM_SHARE, waitLimitMs + RELAY_WAY_MS);
+  const attempt: Attempt = {
+    attemptId,
+    calledId: box.box,
+    ...startOf(world),
+    expectedMs,
+    minHedgeDelayMs: leastMs,
+  };
   const sent = calls.reduce((now, { shardIndex, leaf }) => {
-    return openAttempt(now, { shardIndex, attempt, expectedOfBox: leaf.leafId });
+    return openAttempt(now, { shardIndex, attempt, expectedRelayLeafId: leaf.leafId });
   }, state);
   const relayed = calls.map(({ shardIndex, leaf }) => {
     return { service: state.shards[shardIndex]?.service ?? "", leafId: leaf.leafId };
   });
   return step(
     { ...sent, nextAttemptId: attemptId + 1 },
-    { kind: "relay", attemptId, box: box.box, calls: relayed, deadlineAtMs, patienceMs },
+    {
+      kind: "relay",
+      attemptId,
+      box: box.box,
+      calls: relayed,
+      deadlineAtMs,
+      waitLimitMs: waitLimitMs,
+    },
   );
 }
 
 /** A shard that needs another attempt. */
-export interface ExtraAsking {
+export interface ExtraAttempt {
   readonly shardIndex: number;
-  readonly world: RequestWorld;
-  readonly kind: AskingKind;
+  readonly world: RequestContext;
+  readonly kind: ExtraAttemptKind;
 }
 
 /**
@@ -129,26 +142,26 @@
  * @param asking - The shard, and what the call is for.
  * @returns The request after that, and the call where it was made.
  */
-export function askOrWait(state: RequestState, asking: ExtraAsking): AttemptStep {
+export function retryOrDefer(state: RequestState, asking: ExtraAttempt): AttemptStep {
   const { kind, shardIndex, world } = asking;
-  const asked = askAgain(state, asking);
+  const asked = sendExtraCall(state, asking);
   const shard = asked.state.shards[shardIndex];
   if (shard === undefined || shard.open.length > 0) {
     return asked;
   }
-  const { aimAtMs, arrivedAtMs, maxAttempts, route } = state.terms;
+  const { objectiveAtMs: aimAtMs, arrivedAtMs, maxAttempts, route } = state.terms;
   const aimMs = aimAtMs - arrivedAtMs;
   const atMs = world.nowMs + aimMs * NEXT_AIM_SHARE;
   const calling = world.calling();
   const mayWait =
-    (route.target.kind === "gather" || (route.repeatable && calling === "later")) &&
-    calling !== "held" &&
+    (route.target.kind === "gather" || (route.repeatable && calling === "deferred")) &&
+    calling !== "blocked" &&
     shard.runs < maxAttempts &&
     shard.refusedBy.length < MOST_REFUSALS &&
     atMs < aimAtMs + aimMs;
   const waiting = mayWait
     ? updateShard(asked.state, shardIndex, (now) => ({ ...now, next: { atMs, kind } }))
-    : loseShard(asked.state, shardIndex);
+    : failShard(asked.state, shardIndex);
   return { ...asked, state: waiting };
 }
 
@@ -159,9 +172,9 @@
  * @param asking - The shard, and what the call is for.
  * @returns The request after that, and the call.
  */
-export function askAgain(
+export function sendExtraCall(
   state: RequestState,
-  { shardIndex, world, kind }: ExtraAsking,
+  { shardIndex, world, kind }: ExtraAttempt,
 ): AttemptStep {
   const shard = state.shards[shardIndex];
   const { terms } = state;
@@ -175,13 +188,13 @@
     return step(state);
   }
   const calling = world.calling();
-  if (calling === "later" || calling === "held") {
+  if (calling === "deferred" || calling === "blocked") {
     return step(state);
   }
   if (kind !== "replacement" && !world.takeExtraCall(shard.service, budgetKind(state, kind))) {
     return step(state);
   }
-  return sendAttempt(state, { shardIndex, leaf, world, isTrial: calling === "alone" });
+  return sendAttempt(state, { shardIndex, leaf, world, isTrial: calling === "exclusive" });
 }
 
 /**
@@ -189,8 +202,8 @@
  * queue is no reason: of a shard whose leafs are held by long lookups half of the queries had no second
  * call for it and lacked it.
  */
-function isInVain({ crowded, terms }: RequestState, { queueMs }: LeafChoice): boolean {
-  return crowded && queueMs > terms.mostQueueMs;
+function isInVain({ congested: crowded, terms }: RequestState, { queueMs }: LeafChoice): boolean {
+  return crowded && queueMs > terms.maxQueueMs;
 }
 
 /**
@@ -198,7 +211,7 @@
  * those that would have no answer at all.
  */
 function budgetKind(state: RequestState, kind: ExtraCallKind): ExtraCallKind {
-  return kind === "retry" && hasLeastShareWithout(state) ? "hedge" : kind;
+  return kind === "retry" && openCallsReachMinShare(state) ? "hedge" : kind;
 }
 
 /**
@@ -209,8 +222,8 @@
 
 /** Picks a leaf that was not asked; at last the one that another box was to ask and may not have. */
 function chooseAnother(
-  { service, asked, expectedOfBox }: ShardState,
-  world: RequestWorld,
+  { service, calledLeafIds: asked, expectedRelayLeafId: expectedOfBox }: ShardState,
+  world: RequestContext,
 ): LeafChoice | undefined {
   if (expectedOfBox === undefined) {
     return world.chooseLeaf(service, asked);
@@ -225,8 +238,8 @@
  */
 function chooseRefusing(
   { terms }: RequestState,
-  { asked, refusedBy, service }: ShardState,
-  world: RequestWorld,
+  { calledLeafIds: asked, refusedBy, service }: ShardState,
+  world: RequestContext,
 ): LeafChoice | undefined {
   const isTooOften = refusedBy.length === 0 || refusedBy.length >= MOST_REFUSALS;
   if (isTooOften || terms.route.target.kind !== "gather") {
@@ -239,7 +252,7 @@
 interface SentCall {
   readonly shardIndex: number;
   readonly leaf: LeafChoice;
-  readonly world: RequestWorld;
+  readonly world: RequestContext;
   readonly isTrial: boolean;
 }
 
@@ -254,8 +267,14 @@
   }
   // Another box would send it by its own belief, and the trial would not be known to be the only call.
   const relayPlace = isTrial ? undefined : leaf.relayPlace;
-  const attempt: Attempt = { attemptId, asked: leafId, ...startOf(world), expectedMs, leastMs: 0 };
-  const sent = openAttempt(state, { shardIndex, attempt, askedLeaf: leafId });
+  const attempt: Attempt = {
+    attemptId,
+    calledId: leafId,
+    ...startOf(world),
+    expectedMs,
+    minHedgeDelayMs: 0,
+  };
+  const sent = openAttempt(state, { shardIndex, attempt, calledLeafId: leafId });
   const { deadlineAtMs } = state.terms;
   return step(
     { ...sent, nextAttemptId: attemptId + 1 },
@@ -265,7 +284,7 @@
 
 function startOf({
   nowMs,
-  waitedMs,
-}: RequestWorld): Pick<Attempt, "startedAtMs" | "startedAtWaitedMs"> {
+  eventLoopIdleMs: waitedMs,
+}: RequestContext): Pick<Attempt, "startedAtMs" | "startedAtWaitedMs"> {
   return { startedAtMs: nowMs, startedAtWaitedMs: waitedMs };
 }
--- a/request/_judge.ts
+++ b/request/_completion.ts
@@ -24,7 +24,7 @@
  * @param state - The request so far.
  * @returns The request, with its reply where there is one.
  */
-export function judgeRequest(state: RequestState): JudgedStep {
+export function replyIfDecided(state: RequestState): JudgedStep {
   if (state.done) {
     return step(state);
   }
@@ -33,8 +33,8 @@
   const suffices =
     target.kind === "gather" &&
     hasLeastShare(state, target) &&
-    (state.pastAim || state.partsIn >= state.terms.finishShare * state.shards.length);
-  const hopeless = target.kind === "gather" && !canReachLeastShare(state, target);
+    (state.pastObjective || state.partsIn >= state.terms.finishShare * state.shards.length);
+  const hopeless = target.kind === "gather" && !canReachMinShare(state, target);
   return settled || suffices || hopeless ? finish(state, finalReply(state)) : step(state);
 }
 
@@ -44,7 +44,7 @@
  * @param state - The request so far.
  * @returns The request with its reply.
  */
-export function judgeAtDeadline(state: RequestState): JudgedStep {
+export function replyAtDeadline(state: RequestState): JudgedStep {
   return finish(state, finalReply(state, { timeIsUp: true }));
 }
 
@@ -72,7 +72,7 @@
     return hasLeastShare(state, target) ? mergedReply(state, target) : unanswered(state, timeIsUp);
   }
   const shard = state.shards[0];
-  const answer = shard?.part ?? shard?.failure;
+  const answer = shard?.part ?? shard?.errorAnswer;
   return answer === undefined ? unanswered(state, timeIsUp) : passedReply(answer);
 }
 
@@ -112,7 +112,7 @@
 }
 
 function hasLeastShare(state: RequestState, target: GatherTarget): boolean {
-  return state.partsIn > 0 && state.partsIn >= leastParts(state, target);
+  return state.partsIn > 0 && state.partsIn >= minParts(state, target);
 }
 
 /**
@@ -122,8 +122,8 @@
  * @param target - What it gathers.
  * @returns Whether enough shards are not lost.
  */
-export function canReachLeastShare(state: RequestState, target: GatherTarget): boolean {
-  return state.shards.length - state.partsLost >= Math.max(1, leastParts(state, target));
+export function canReachMinShare(state: RequestState, target: GatherTarget): boolean {
+  return state.shards.length - state.partsLost >= Math.max(1, minParts(state, target));
 }
 
 /**
@@ -133,7 +133,7 @@
  * @param state - The request.
  * @returns Whether they reach the least share; never for a request to a single leaf.
  */
-export function hasLeastShareWithout(state: RequestState): boolean {
+export function openCallsReachMinShare(state: RequestState): boolean {
   const { target } = state.terms.route;
   if (target.kind !== "gather") {
     return false;
@@ -141,7 +141,7 @@
   const expected = state.shards.filter((shard) => {
     return shard.part !== undefined || shard.relayed || shard.open.length > 0;
   });
-  return expected.length >= leastParts(state, target);
+  return expected.length >= minParts(state, target);
 }
 
 /**
@@ -152,7 +152,7 @@
  * @param target - What it gathers.
  * @returns The number of parts.
  */
-export function leastParts(
+export function minParts(
   state: Pick<RequestState, "shards">,
   target: Pick<GatherTarget, "leastShare">,
 ): number {
--- a/request/_outcomes.ts
+++ b/request/_outcomes.ts
@@ -4,14 +4,14 @@
  * @module
  */
 import { type Step, step } from "../core/mod.js";
-import { askOrWait, type ExtraAsking } from "./_attempts.js";
-import { endAttempt, isSettled, loseShard, updateShard } from "./_shards.js";
+import { type ExtraAttempt, retryOrDefer } from "./_attempts.js";
+import { endAttempt, failShard, isSettled, updateShard } from "./_shards.js";
 import type {
   AttemptOutcome,
   LeafAnswer,
+  RequestContext,
   RequestEffect,
   RequestState,
-  RequestWorld,
 } from "./request_state.js";
 
 type OutcomeStep = Step<RequestState, RequestEffect>;
@@ -21,7 +21,7 @@
   readonly shardIndex: number;
   readonly attemptId: number;
   readonly outcome: Outcome;
-  readonly world: RequestWorld;
+  readonly world: RequestContext;
 }
 
 /**
@@ -31,7 +31,10 @@
  * @param ended - The attempt's end.
  * @returns The request after that, with another call where one may help.
  */
-export function takeOutcome(state: RequestState, ended: EndedAttempt<AttemptOutcome>): OutcomeStep {
+export function applyOutcome(
+  state: RequestState,
+  ended: EndedAttempt<AttemptOutcome>,
+): OutcomeStep {
   const { attemptId, outcome, shardIndex } = ended;
   const shard = state.shards[shardIndex];
   if (shard === undefined || isSettled(shard)) {
@@ -40,7 +43,7 @@
   if (outcome.kind === "answered" && isUsable(state, outcome.answer)) {
     return step(takePart(state, ended, outcome.answer));
   }
-  const asked = shard.open.find((attempt) => attempt.attemptId === attemptId)?.asked;
+  const asked = shard.open.find((attempt) => attempt.attemptId === attemptId)?.calledId;
   const without = endAttempt(state, shardIndex, attemptId);
   const handler = OUTCOME_HANDLERS[outcome.kind] as OutcomeHandler<AttemptOutcome>;
   return handler(without, { ...ended, asked });
@@ -76,7 +79,7 @@
 } = {
   answered: (state, { shardIndex, outcome, world }) => {
     const failure = outcome.answer;
-    const kept = updateShard(state, shardIndex, (shard) => ({ ...shard, failure }));
+    const kept = updateShard(state, shardIndex, (shard) => ({ ...shard, errorAnswer: failure }));
     return recover(kept, { shardIndex, world, mayRepeat: state.terms.route.repeatable });
   },
   refused: (state, { shardIndex, world, asked = "" }) => {
@@ -107,11 +110,11 @@
 
 interface Recovery {
   readonly shardIndex: number;
-  readonly world: RequestWorld;
+  readonly world: RequestContext;
   /** Whether the shard may be asked again at all. */
   readonly mayRepeat: boolean;
   /** What the next call would be for; a retry by default. */
-  readonly kind?: ExtraAsking["kind"];
+  readonly kind?: ExtraAttempt["kind"];
 }
 
 /** Asks again after an attempt came to nothing; a shard that cannot be asked again is lost. */
@@ -120,8 +123,8 @@
   { shardIndex, world, mayRepeat, kind = "retry" }: Recovery,
 ): OutcomeStep {
   if (mayRepeat) {
-    return askOrWait(state, { shardIndex, world, kind });
+    return retryOrDefer(state, { shardIndex, world, kind });
   }
   const open = state.shards[shardIndex]?.open ?? [];
-  return step(open.length > 0 ? state : loseShard(state, shardIndex));
+  return step(open.length > 0 ? state : failShard(state, shardIndex));
 }
--- a/request/_plan.ts
+++ b/request/_plan.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import type { BoxChoice, LeafChoice, RequestState, RequestWorld } from "./request_state.js";
+import type { BoxChoice, LeafChoice, RequestContext, RequestState } from "./request_state.js";
 
 /** Fewest shards that are asked through another box; for one alone there is nothing to merge. */
 const LEAST_RELAYED = 2;
@@ -37,12 +37,12 @@
  * @param world - What the box can choose from.
  * @returns The plan; each shard stands in it once.
  */
-export function planCalls(state: RequestState, world: RequestWorld): CallPlan {
+export function planCalls(state: RequestState, world: RequestContext): CallPlan {
   const unserved: Array<number> = [];
   const near: Array<DirectCall> = [];
   const far: Array<FarShard> = [];
   state.shards.forEach((shard, shardIndex) => {
-    const leaf = world.chooseLeaf(shard.service, shard.asked);
+    const leaf = world.chooseLeaf(shard.service, shard.calledLeafIds);
     if (leaf === undefined) {
       unserved.push(shardIndex);
     } else if (leaf.relayPlace === undefined) {
@@ -79,7 +79,7 @@
 function farChoices(
   best: LeafChoice,
   service: string,
-  world: RequestWorld,
+  world: RequestContext,
 ): ReadonlyArray<LeafChoice> {
   const second = world.chooseLeaf(service, new Set([best.leafId]));
   const isEqual =
--- a/request/_refusals.ts
+++ b/request/_refusals.ts
@@ -5,17 +5,17 @@
  * @module
  */
 import {
-  decisiveQueueMs,
   findOverload,
   findShortfall,
   type Overload,
   overloadRetryMs,
   type PartsShortfall,
+  queueQuantileMs,
 } from "../admission/mod.js";
 import { type Step, step } from "../core/mod.js";
-import { leastParts } from "./_judge.js";
+import { minParts } from "./_completion.js";
 import type { CallPlan, DirectCall } from "./_plan.js";
-import type { Reply, RequestEffect, RequestState, RequestWorld } from "./request_state.js";
+import type { Reply, RequestContext, RequestEffect, RequestState } from "./request_state.js";
 
 type RefusedStep = Step<RequestState, RequestEffect>;
 
@@ -27,16 +27,16 @@
  * @param world - Notes the queues, by which the next queries are judged as well.
  * @returns The queues, and the longest wait that the request could bear.
  */
-export function waitsOf(
+export function queueLoadOf(
   plan: CallPlan,
   { shards, terms }: RequestState,
-  world: RequestWorld,
+  world: RequestContext,
 ): Overload {
-  const { mostQueueMs } = terms;
+  const { maxQueueMs: mostQueueMs } = terms;
   if (terms.route.target.kind !== "gather") {
     return { mostQueueMs, queueMs: 0, standingMs: 0 };
   }
-  const queueMs = decisiveQueueMs(callsOf(plan).map(({ leaf }) => leaf.queueMs));
+  const queueMs = queueQuantileMs(callsOf(plan).map(({ leaf }) => leaf.queueMs));
   const standingMs = world.noteQueue(shards[0]?.service ?? "", queueMs);
   return { mostQueueMs, queueMs, standingMs };
 }
@@ -44,8 +44,8 @@
 /** What is known of a query that is to begin. */
 export interface PlannedQuery {
   readonly plan: CallPlan;
-  readonly waits: Overload;
-  readonly world: RequestWorld;
+  readonly queueLoad: Overload;
+  readonly world: RequestContext;
 }
 
 /**
@@ -57,10 +57,13 @@
  */
 export function refusePlan(
   first: RefusedStep,
-  { plan, waits, world }: PlannedQuery,
+  { plan, queueLoad: waits, world }: PlannedQuery,
 ): RefusedStep | undefined {
-  if (world.calling() === "held") {
-    return refuse(first, { reason: "leafs were lost under it", retryAfterMs: world.heldForMs() });
+  if (world.calling() === "blocked") {
+    return refuse(first, {
+      reason: "leafs were lost under it",
+      retryAfterMs: world.blockedForMs(),
+    });
   }
   if (findOverload(waits) !== undefined) {
     return refuse(first, {
@@ -87,17 +90,17 @@
 function shortfallOf(
   plan: CallPlan,
   { shards, terms }: RequestState,
-  world: RequestWorld,
+  world: RequestContext,
 ): PartsShortfall | undefined {
   const { target } = terms.route;
   if (target.kind !== "gather") {
     return undefined;
   }
   const chances = callsOf(plan).map(({ leaf, shardIndex }) => ({
-    lossShare: leaf.lossShare,
+    failureRate: leaf.failureRate,
     extraCallsLeft: world.extraCallsLeft(shards[shardIndex]?.service ?? ""),
   }));
-  return findShortfall(chances, leastParts({ shards }, target));
+  return findShortfall(chances, minParts({ shards }, target));
 }
 
 function callsOf({ direct, relays }: CallPlan): ReadonlyArray<DirectCall> {
--- a/request/_relayed.ts
+++ b/request/_relayed_parts.ts
@@ -13,7 +13,7 @@
  * @param parts - The parts.
  * @returns The request after that.
  */
-export function takeRelayed(state: RequestState, parts: RelayedParts): RequestState {
+export function applyRelayedParts(state: RequestState, parts: RelayedParts): RequestState {
   const wasRelayed = state.shards.some(({ service, relayed }) => {
     return relayed && parts.signatures.has(service);
   });
@@ -26,8 +26,8 @@
       return shard;
     }
     partsIn += shard.part === undefined ? 1 : 0;
-    partsLost -= shard.lost ? 1 : 0;
-    return { ...shard, relayed: true, part: undefined, lost: false };
+    partsLost -= shard.failed ? 1 : 0;
+    return { ...shard, relayed: true, part: undefined, failed: false };
   });
   return { ...state, shards, partsIn, partsLost, relayed: [...state.relayed, parts] };
 }
--- a/request/_far_calls.ts
+++ b/request/_remote_calls.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import { type Step, step } from "../core/mod.js";
-import { recordFloor } from "./record_floor.js";
-import type { FarCall, RequestEffect, RequestState, RequestWorld } from "./request_state.js";
+import { recordThreshold } from "./record_threshold.js";
+import type { RemoteCall, RequestContext, RequestEffect, RequestState } from "./request_state.js";
 
 type FarStep = Step<RequestState, RequestEffect>;
 type CallEffect = Extract<RequestEffect, { readonly kind: "call" }>;
@@ -19,7 +19,7 @@
  * @param world - What the box can choose from.
  * @returns The step with orders in place of calls.
  */
-export function bundleFarCalls(made: FarStep, world: RequestWorld): FarStep {
+export function batchRemoteCalls(made: FarStep, world: RequestContext): FarStep {
   const { state, effects } = made;
   const { target } = state.terms.route;
   if (target.kind !== "gather" || !effects.some(isFar)) {
@@ -28,13 +28,19 @@
   const places = groupByPlace(effects.filter(isFar));
   const orders: Array<RequestEffect> = [];
   const bundled = new Set<RequestEffect>();
-  const leastRecord = recordFloor(lastingParts(state), target);
+  const leastRecord = recordThreshold(lastingParts(state), target);
   for (const [place, calls] of places) {
     const box = world.chooseBox(place);
     if (box !== undefined) {
       const { deadlineAtMs } = state.terms;
       const far = calls.map((call) => farCall(state, call));
-      orders.push({ kind: "askThrough", box: box.box, calls: far, leastRecord, deadlineAtMs });
+      orders.push({
+        kind: "askThrough",
+        box: box.box,
+        calls: far,
+        minRecord: leastRecord,
+        deadlineAtMs,
+      });
       for (const call of calls) {
         bundled.add(call);
       }
@@ -58,7 +64,7 @@
   return effect.kind === "call" && effect.relayPlace !== undefined;
 }
 
-function farCall(state: RequestState, { attemptId, shardIndex, leafId }: CallEffect): FarCall {
+function farCall(state: RequestState, { attemptId, shardIndex, leafId }: CallEffect): RemoteCall {
   return { attemptId, service: state.shards[shardIndex]?.service ?? "", leafId };
 }
 
--- a/request/_request_driver.ts
+++ b/request/_request_driver.ts
@@ -4,16 +4,16 @@
  * @module
  */
 import type { ExtraCallKind } from "../limits/mod.js";
-import type { Calling } from "../quarantine/mod.js";
+import type { CallPermission } from "../quarantine/mod.js";
 import type { Route } from "../routing/mod.js";
 import { newRequest, stepRequest } from "./request_core.js";
 import type {
   AttemptOutcome,
   LeafAnswer,
+  RequestContext,
   RequestEffect,
   RequestEvent,
   RequestState,
-  RequestWorld,
 } from "./request_state.js";
 
 export const GATHER: Route = {
@@ -39,63 +39,63 @@
   target: { kind: "single", services: [{ service: "s1", weight: 1 }] },
 };
 
-export const UNREPEATABLE: Route = { ...SINGLE, repeatable: false };
+export const NON_REPEATABLE: Route = { ...SINGLE, repeatable: false };
 
 /** What a driven request meets. */
-export interface DriverOptions {
+export interface RequestDriverOptions {
   readonly extraCalls?: number;
-  readonly far?: boolean;
+  readonly remote?: boolean;
   /** Ends of the leafs' ids that lie in another region; "a" by default. */
-  readonly relayedLeafs?: ReadonlyArray<string>;
+  readonly remoteLeafs?: ReadonlyArray<string>;
   readonly finishShare?: number;
   /** Expected wait at each service's leafs, in milliseconds; none by default. */
   readonly queueMs?: Readonly<Record<string, number>>;
   /** How the first call may go; freely by default. */
-  readonly calling?: Calling;
+  readonly calling?: CallPermission;
   /** Share of calls to each service's leafs that come to nothing; none by default. */
-  readonly lossShare?: Readonly<Record<string, number>>;
+  readonly failureRate?: Readonly<Record<string, number>>;
   /** Told what each extra call is paid as. */
   readonly onExtraCall?: (kind: ExtraCallKind) => void;
   /** Whether queues stand; true by default. */
-  readonly stands?: boolean;
+  readonly persistentQueues?: boolean;
   /** Services that have no leaf. */
   readonly withoutLeafs?: ReadonlyArray<string>;
 }
 
 /** Drives one request: leafs are `<service>-a` and `<service>-b`, extra calls as many as told. */
-export class Driver {
+export class RequestDriver {
   state: RequestState;
   effects: ReadonlyArray<RequestEffect> = [];
   nowMs = 0;
   /** The box's own clock; the same moment by default. */
-  waitedMs: number | undefined;
+  eventLoopIdleMs: number | undefined;
   extraCalls: number;
   readonly relayedLeafs: ReadonlyArray<string>;
   readonly withoutLeafs: ReadonlyArray<string>;
   readonly queueMs: Readonly<Record<string, number>>;
-  readonly lossShare: Readonly<Record<string, number>>;
+  readonly failureRate: Readonly<Record<string, number>>;
   readonly onExtraCall: (kind: ExtraCallKind) => void;
   leafs: ReadonlyArray<string> = ["a", "b"];
   /** Whether queues stand. */
-  readonly stands: boolean;
+  readonly persistentQueues: boolean;
   /** Whether another region has a box to rely on. */
   hasBox = true;
   /** How the next call may go; once a trial has begun, not before the test says so. */
-  calling: Calling;
+  calling: CallPermission;
 
-  constructor(route: Route, options: DriverOptions = {}) {
+  constructor(route: Route, options: RequestDriverOptions = {}) {
     const {
       extraCalls = 10,
-      far = false,
-      relayedLeafs = far ? ["a"] : [],
+      remote: far = false,
+      remoteLeafs: relayedLeafs = far ? ["a"] : [],
       finishShare = 1,
     } = options;
     this.withoutLeafs = options.withoutLeafs ?? [];
     this.queueMs = options.queueMs ?? {};
-    this.lossShare = options.lossShare ?? {};
+    this.failureRate = options.failureRate ?? {};
     this.extraCalls = extraCalls;
-    this.stands = options.stands ?? true;
-    this.calling = options.calling ?? "freely";
+    this.persistentQueues = options.persistentQueues ?? true;
+    this.calling = options.calling ?? "unrestricted";
     this.onExtraCall = options.onExtraCall ?? (() => undefined);
     this.relayedLeafs = relayedLeafs;
     const terms = {
@@ -103,20 +103,20 @@
       route,
       arrivedAtMs: 0,
       deadlineAtMs: 1_000,
-      aimAtMs: 100,
+      objectiveAtMs: 100,
       maxAttempts: route.maxAttempts,
-      mostQueueMs: 50,
+      maxQueueMs: 50,
       finishShare,
     };
     const { target } = route;
     this.state = newRequest(terms, target.kind === "gather" ? target.shards : ["s1"]);
-    this.take({ kind: "started" });
+    this.dispatch({ kind: "started" });
   }
 
-  take(event: RequestEvent): ReadonlyArray<RequestEffect> {
-    const world: RequestWorld = {
+  dispatch(event: RequestEvent): ReadonlyArray<RequestEffect> {
+    const world: RequestContext = {
       nowMs: this.nowMs,
-      waitedMs: this.waitedMs ?? this.nowMs,
+      eventLoopIdleMs: this.eventLoopIdleMs ?? this.nowMs,
       chooseLeaf: (service, excluded) => {
         const leafs = this.withoutLeafs.includes(service) ? [] : this.leafs;
         const leafIds = leafs.map((leaf) => `${service}-${leaf}`);
@@ -124,21 +124,21 @@
         const isFar = this.relayedLeafs.some((end) => leafId?.endsWith(`-${end}`));
         const relayPlace = isFar ? "south" : undefined;
         const queueMs = this.queueMs[service] ?? 0;
-        const lossShare = this.lossShare[service] ?? 0;
+        const lossShare = this.failureRate[service] ?? 0;
         return leafId === undefined
           ? undefined
-          : { leafId, expectedMs: 5, relayPlace, queueMs, lossShare };
+          : { leafId, expectedMs: 5, relayPlace, queueMs, failureRate: lossShare };
       },
       chooseBox: (region) => {
         return this.hasBox ? { box: `box in ${region}`, expectedMs: 5 } : undefined;
       },
-      noteQueue: (_index, queueMs) => (this.stands ? queueMs : 0),
+      noteQueue: (_index, queueMs) => (this.persistentQueues ? queueMs : 0),
       extraCallsLeft: () => this.extraCalls,
       calling: () => this.calling,
       beginTrial: () => {
-        this.calling = "later";
+        this.calling = "deferred";
       },
-      heldForMs: () => 700,
+      blockedForMs: () => 700,
       takeExtraCall: (_service, kind) => {
         this.onExtraCall(kind);
         this.extraCalls -= 1;
@@ -151,8 +151,8 @@
     return next.effects;
   }
 
-  end(attemptId: number, outcome: AttemptOutcome): ReadonlyArray<RequestEffect> {
-    return this.take({ kind: "attemptEnded", attemptId, outcome });
+  endAttempt(attemptId: number, outcome: AttemptOutcome): ReadonlyArray<RequestEffect> {
+    return this.dispatch({ kind: "attemptEnded", attemptId, outcome });
   }
 }
 
@@ -164,7 +164,7 @@
   return { statusCode, headers: {}, signature, body: Buffer.alloc(16, first) };
 }
 
-export function calls(effects: ReadonlyArray<RequestEffect>): ReadonlyArray<string> {
+export function calledLeafIds(effects: ReadonlyArray<RequestEffect>): ReadonlyArray<string> {
   return effects.flatMap((effect) => (effect.kind === "call" ? [effect.leafId] : []));
 }
 
--- a/request/_shards.ts
+++ b/request/_shards.ts
@@ -11,7 +11,7 @@
  * @param shard - The shard.
  * @returns Whether its part is in or it is lost.
  */
-export function isSettled({ part, relayed, lost }: ShardState): boolean {
+export function isSettled({ part, relayed, failed: lost }: ShardState): boolean {
   return part !== undefined || relayed || lost;
 }
 
@@ -43,9 +43,9 @@
   readonly shardIndex: number;
   readonly attempt: Attempt;
   /** Leaf that is asked directly; nothing where a box picks it. */
-  readonly askedLeaf?: string;
+  readonly calledLeafId?: string;
   /** Leaf that a box is expected to ask. */
-  readonly expectedOfBox?: string;
+  readonly expectedRelayLeafId?: string;
 }
 
 /**
@@ -57,15 +57,21 @@
  */
 export function openAttempt(
   state: RequestState,
-  { shardIndex, attempt, askedLeaf, expectedOfBox }: OpenedAttempt,
+  {
+    shardIndex,
+    attempt,
+    calledLeafId: askedLeaf,
+    expectedRelayLeafId: expectedOfBox,
+  }: OpenedAttempt,
 ): RequestState {
   return updateShard(state, shardIndex, (shard) => ({
     ...shard,
     runs: shard.runs + 1,
     open: [...shard.open, attempt],
     next: undefined,
-    asked: askedLeaf === undefined ? shard.asked : new Set(shard.asked).add(askedLeaf),
-    expectedOfBox: expectedOfBox ?? shard.expectedOfBox,
+    calledLeafIds:
+      askedLeaf === undefined ? shard.calledLeafIds : new Set(shard.calledLeafIds).add(askedLeaf),
+    expectedRelayLeafId: expectedOfBox ?? shard.expectedRelayLeafId,
   }));
 }
 
@@ -95,9 +101,9 @@
  * @param shardIndex - The shard.
  * @returns The request after that.
  */
-export function loseShard(state: RequestState, shardIndex: number): RequestState {
+export function failShard(state: RequestState, shardIndex: number): RequestState {
   const lost = updateShard(state, shardIndex, (shard) => {
-    return { ...shard, lost: true, next: undefined };
+    return { ...shard, failed: true, next: undefined };
   });
   return { ...lost, partsLost: state.partsLost + 1 };
 }
--- a/request/lost_part.ts
+++ b/request/failed_part.ts
@@ -3,14 +3,19 @@
  *
  * @module
  */
-import type { AttemptOutcome, LostPart } from "./request_state.js";
+import type { AttemptOutcome, FailedPart } from "./request_state.js";
 
-const OUTCOMES: Readonly<Record<LostPart, AttemptOutcome>> = {
+const OUTCOMES: Readonly<Record<FailedPart, AttemptOutcome>> = {
   declined: { kind: "failed", sent: false, reason: "declined" },
   refused: { kind: "refused", reason: "full" },
   failed: { kind: "failed", sent: true, reason: "part is missing" },
-  "connection lost": { kind: "failed", sent: true, reason: "leaf was lost", connectionLost: true },
-  held: { kind: "failed", sent: false, reason: "held" },
+  "connection lost": {
+    kind: "failed",
+    sent: true,
+    reason: "leaf was lost",
+    connectionClosed: true,
+  },
+  blocked: { kind: "failed", sent: false, reason: "blocked" },
 };
 
 /**
@@ -19,6 +24,6 @@
  * @param why - Why there is none.
  * @returns The attempt's outcome.
  */
-export function lostPartOutcome(why: LostPart): AttemptOutcome {
+export function failedPartOutcome(why: FailedPart): AttemptOutcome {
   return OUTCOMES[why];
 }
--- a/request/mod.ts
+++ b/request/mod.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-export * from "./lost_part.js";
-export * from "./record_floor.js";
+export * from "./failed_part.js";
 export * from "./record_merge.js";
+export * from "./record_threshold.js";
 export * from "./request_core.js";
 export * from "./request_state.js";
--- a/request/record_merge.ts
+++ b/request/record_merge.ts
@@ -21,7 +21,7 @@
   /** Most records wanted. */
   readonly topRecords: number;
   /** Records below this one are left out; none by default. */
-  readonly leastRecord?: Buffer | undefined;
+  readonly minRecord?: Buffer | undefined;
 }
 
 /**
@@ -36,7 +36,7 @@
  */
 export function mergeRecords(
   parts: ReadonlyArray<Buffer>,
-  { topRecords, leastRecord }: MergeOptions,
+  { topRecords, minRecord: leastRecord }: MergeOptions,
 ): Buffer {
   const keys = recordKeys(parts);
   const places = placesFrom(parts, keys, leastKey(keys, topRecords));
--- a/request/record_floor.ts
+++ b/request/record_threshold.ts
@@ -14,7 +14,7 @@
  * @param options - Records wanted in the end.
  * @returns The record, or nothing while there are fewer records than wanted.
  */
-export function recordFloor(
+export function recordThreshold(
   parts: ReadonlyArray<Buffer>,
   { topRecords }: { readonly topRecords: number },
 ): Buffer | undefined {
--- a/request/record_floor_test.ts
+++ b/request/record_threshold_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import t from "tap";
-import { recordFloor } from "./record_floor.js";
 import { mergeRecords } from "./record_merge.js";
+import { recordThreshold } from "./record_threshold.js";
 
 /** Parts of few different bytes, so that equal records are common. */
 const PARTS = fc.array(
@@ -16,8 +16,10 @@
   async (t) => {
     fc.assert(
       fc.property(PARTS, PARTS, fc.integer({ min: 1, max: 10 }), (held, others, topRecords) => {
-        const leastRecord = recordFloor(held, { topRecords });
-        const sent = others.map((part) => mergeRecords([part], { topRecords, leastRecord }));
+        const leastRecord = recordThreshold(held, { topRecords });
+        const sent = others.map((part) =>
+          mergeRecords([part], { topRecords, minRecord: leastRecord }),
+        );
         const merged = mergeRecords([...held, ...sent], { topRecords });
         return merged.equals(mergeRecords([...held, ...others], { topRecords }));
       }),
@@ -28,6 +30,6 @@
 );
 
 t.test("recordFloor() is nothing while there are fewer records than wanted", async (t) => {
-  t.equal(recordFloor([Buffer.alloc(16, 1)], { topRecords: 2 }), undefined);
-  t.same(recordFloor([Buffer.alloc(32, 1)], { topRecords: 2 }), Buffer.alloc(16, 1));
+  t.equal(recordThreshold([Buffer.alloc(16, 1)], { topRecords: 2 }), undefined);
+  t.same(recordThreshold([Buffer.alloc(32, 1)], { topRecords: 2 }), Buffer.alloc(16, 1));
 });
--- a/request/relayed_test.ts
+++ b/request/relayed_test.ts
@@ -1,8 +1,15 @@
 import t from "tap";
-import { answered, calls, Driver, GATHER, GATHER_MANY, replyOf } from "./_request_driver.js";
+import {
+  answered,
+  calledLeafIds,
+  GATHER,
+  GATHER_MANY,
+  RequestDriver,
+  replyOf,
+} from "./_request_driver.js";
 
 t.test("shards whose leafs are far are asked through one box near them", async (t) => {
-  const driver = new Driver(GATHER, { far: true });
+  const driver = new RequestDriver(GATHER, { remote: true });
   t.match(driver.effects, [
     { kind: "wake" },
     { kind: "wake" },
@@ -15,22 +22,22 @@
       ["s2", "y"],
     ]),
     records: Buffer.alloc(16, 4),
-    lost: new Map(),
+    failed: new Map(),
   };
-  const reply = replyOf(driver.take({ kind: "partsRelayed", attemptId: 1, parts }));
+  const reply = replyOf(driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts }));
   t.match(reply, { kind: "merged", signatures: ["x", "y"], missingParts: 0 });
 });
 
 t.test("relayed parts go before a part of the same shard, so that none counts twice", async (t) => {
-  const driver = new Driver(GATHER, { far: true });
+  const driver = new RequestDriver(GATHER, { remote: true });
   driver.nowMs = 50;
-  t.same(calls(driver.take({ kind: "timer", timer: "hedge" })), ["s1-b", "s2-b"]);
-  driver.end(2, answered(200, "direct", 9));
+  t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), ["s1-b", "s2-b"]);
+  driver.endAttempt(2, answered(200, "direct", 9));
   const signatures = new Map([["s1", "relayed"]]);
-  const parts = { signatures, records: Buffer.alloc(16, 4), lost: new Map() };
-  driver.take({ kind: "partsRelayed", attemptId: 1, parts });
+  const parts = { signatures, records: Buffer.alloc(16, 4), failed: new Map() };
+  driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
   t.equal(driver.state.partsIn, 1);
-  t.match(replyOf(driver.take({ kind: "timer", timer: "aim" })), {
+  t.match(replyOf(driver.dispatch({ kind: "timer", timer: "aim" })), {
     kind: "merged",
     signatures: ["relayed"],
     records: Buffer.alloc(16, 4),
@@ -38,43 +45,54 @@
 });
 
 t.test("shards that another box could not get are asked for directly", async (t) => {
-  const driver = new Driver(GATHER, { far: true });
+  const driver = new RequestDriver(GATHER, { remote: true });
   const signatures = new Map([["s1", "x"]]);
-  const parts = { signatures, records: Buffer.alloc(16, 4), lost: new Map() };
-  driver.take({ kind: "partsRelayed", attemptId: 1, parts });
-  t.same(calls(driver.end(1, { kind: "failed", sent: true, reason: "part is missing" })), ["s2-b"]);
+  const parts = { signatures, records: Buffer.alloc(16, 4), failed: new Map() };
+  driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
+  t.same(
+    calledLeafIds(driver.endAttempt(1, { kind: "failed", sent: true, reason: "part is missing" })),
+    ["s2-b"],
+  );
 });
 
 t.test("shards that another box declines go to another leaf at once, at no cost", async (t) => {
-  const driver = new Driver(GATHER, { far: true, extraCalls: 0 });
+  const driver = new RequestDriver(GATHER, { remote: true, extraCalls: 0 });
   const parts = {
     signatures: new Map(),
     records: Buffer.alloc(0),
-    lost: new Map([["s2", "declined" as const]]),
+    failed: new Map([["s2", "declined" as const]]),
   };
-  t.same(calls(driver.take({ kind: "partsRelayed", attemptId: 1, parts })), ["s2-b"]);
+  t.same(calledLeafIds(driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts })), ["s2-b"]);
 });
 
 t.test("the leaf that a box was to ask is asked again where no other is left", async (t) => {
   const missing = { kind: "failed", sent: true, reason: "part is missing" } as const;
-  const alone = new Driver(GATHER, { far: true });
+  const alone = new RequestDriver(GATHER, { remote: true });
   alone.leafs = ["a"];
   alone.hasBox = false;
-  t.same(calls(alone.end(1, missing)), ["s1-a", "s2-a"], "directly, without a box to rely on");
-  const driver = new Driver(GATHER, { far: true });
+  t.same(
+    calledLeafIds(alone.endAttempt(1, missing)),
+    ["s1-a", "s2-a"],
+    "directly, without a box to rely on",
+  );
+  const driver = new RequestDriver(GATHER, { remote: true });
   driver.leafs = ["a"];
   const leafs = [{ leafId: "s1-a" }, { leafId: "s2-a" }];
-  t.match(driver.end(1, missing)[0], { kind: "askThrough", box: "box in south", calls: leafs });
+  t.match(driver.endAttempt(1, missing)[0], {
+    kind: "askThrough",
+    box: "box in south",
+    calls: leafs,
+  });
 });
 
 t.test(
   "second calls to far leafs go through one box there, which sends what still counts",
   async (t) => {
-    const driver = new Driver(GATHER_MANY, { relayedLeafs: ["b"] });
-    driver.end(1, answered(200, "one", 5));
-    driver.end(2, answered(200, "two", 7));
+    const driver = new RequestDriver(GATHER_MANY, { remoteLeafs: ["b"] });
+    driver.endAttempt(1, answered(200, "one", 5));
+    driver.endAttempt(2, answered(200, "two", 7));
     driver.nowMs = 50;
-    const effects = driver.take({ kind: "timer", timer: "hedge" });
+    const effects = driver.dispatch({ kind: "timer", timer: "hedge" });
     t.match(effects[0], {
       kind: "askThrough",
       box: "box in south",
@@ -82,37 +100,37 @@
         { attemptId: 5, service: "s3", leafId: "s3-b" },
         { attemptId: 6, service: "s4", leafId: "s4-b" },
       ],
-      leastRecord: Buffer.alloc(16, 5),
+      minRecord: Buffer.alloc(16, 5),
     });
-    t.same(calls(effects), []);
-    driver.end(5, answered(200, "three", 6));
-    const reply = replyOf(driver.end(6, { ...answered(200, "four", 0) }));
+    t.same(calledLeafIds(effects), []);
+    driver.endAttempt(5, answered(200, "three", 6));
+    const reply = replyOf(driver.endAttempt(6, { ...answered(200, "four", 0) }));
     t.match(reply, { kind: "merged", missingParts: 0 });
   },
 );
 
 t.test("the floor counts no part that a box may still replace", async (t) => {
-  const driver = new Driver(GATHER, { relayedLeafs: ["a"] });
+  const driver = new RequestDriver(GATHER, { remoteLeafs: ["a"] });
   driver.nowMs = 50;
-  driver.take({ kind: "timer", timer: "hedge" });
-  driver.end(2, answered(200, "direct", 9));
+  driver.dispatch({ kind: "timer", timer: "hedge" });
+  driver.endAttempt(2, answered(200, "direct", 9));
   t.same(driver.state.shards[0]?.part?.signature, "direct");
   t.equal(driver.state.shards[0]?.open.length, 1, "the box's part of the shard may still come");
   driver.leafs = ["a", "b", "c"];
-  const far = new Driver(GATHER, { relayedLeafs: ["a", "b", "c"] });
+  const far = new RequestDriver(GATHER, { remoteLeafs: ["a", "b", "c"] });
   far.leafs = ["a", "b", "c"];
   const parts = {
     signatures: new Map([["s1", "x"]]),
     records: Buffer.alloc(16, 9),
-    lost: new Map([["s2", "declined" as const]]),
+    failed: new Map([["s2", "declined" as const]]),
   };
-  const effects = far.take({ kind: "partsRelayed", attemptId: 1, parts });
-  t.match(effects[0], { kind: "askThrough", leastRecord: undefined }, "one record of two is in");
+  const effects = far.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
+  t.match(effects[0], { kind: "askThrough", minRecord: undefined }, "one record of two is in");
 });
 
 t.test("shards of an order are not asked again before their parts can have come", async (t) => {
-  const driver = new Driver(GATHER, { far: true });
+  const driver = new RequestDriver(GATHER, { remote: true });
   driver.nowMs = 42;
-  t.same(calls(driver.take({ kind: "timer", timer: "hedge" })), []);
+  t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), []);
   t.match(driver.effects, [{ kind: "wake", timer: "hedge" }]);
 });
--- a/request/request_core.ts
+++ b/request/request_core.ts
@@ -5,20 +5,20 @@
  * @module
  */
 import { andThen, forEachStep, type Step, step } from "../core/mod.js";
-import { askAgain, askFirst, askOrWait } from "./_attempts.js";
-import { bundleFarCalls } from "./_far_calls.js";
-import { judgeAtDeadline, judgeRequest } from "./_judge.js";
-import { takeOutcome } from "./_outcomes.js";
-import { takeRelayed } from "./_relayed.js";
+import { retryOrDefer, sendExtraCall, sendFirstCalls } from "./_attempts.js";
+import { replyAtDeadline, replyIfDecided } from "./_completion.js";
+import { applyOutcome } from "./_outcomes.js";
+import { applyRelayedParts } from "./_relayed_parts.js";
+import { batchRemoteCalls } from "./_remote_calls.js";
 import { isSettled, openAttemptsOf, shardsOf } from "./_shards.js";
-import { lostPartOutcome } from "./lost_part.js";
+import { failedPartOutcome } from "./failed_part.js";
 import type {
+  RequestContext,
   RequestEffect,
   RequestEvent,
   RequestState,
   RequestTerms,
   RequestTimer,
-  RequestWorld,
   ShardState,
 } from "./request_state.js";
 
@@ -57,23 +57,23 @@
     terms,
     shards: services.map((service) => ({
       service,
-      asked: new Set(),
+      calledLeafIds: new Set(),
       refusedBy: [],
-      expectedOfBox: undefined,
+      expectedRelayLeafId: undefined,
       runs: 0,
       open: [],
       part: undefined,
       next: undefined,
       relayed: false,
-      failure: undefined,
-      lost: false,
+      errorAnswer: undefined,
+      failed: false,
     })),
     partsIn: 0,
     partsLost: 0,
     relayed: [],
     nextAttemptId: 1,
-    crowded: false,
-    pastAim: false,
+    congested: false,
+    pastObjective: false,
     done: false,
   };
 }
@@ -89,7 +89,7 @@
 export function stepRequest(
   state: RequestState,
   event: RequestEvent,
-  world: RequestWorld,
+  world: RequestContext,
 ): RequestStep {
   if (state.done) {
     return step(state);
@@ -102,34 +102,38 @@
   return step(state);
 }
 
-type EventHandler<Event> = (state: RequestState, event: Event, world: RequestWorld) => RequestStep;
+type EventHandler<Event> = (
+  state: RequestState,
+  event: Event,
+  world: RequestContext,
+) => RequestStep;
 
 const EVENT_HANDLERS: {
   readonly [K in RequestEvent["kind"]]: EventHandler<Extract<RequestEvent, { readonly kind: K }>>;
 } = {
   started: (state, _event, world) => {
-    const asked = askFirst(setFirstTimers(state), world);
+    const asked = sendFirstCalls(setFirstTimers(state), world);
     return andThen(
       andThen(asked, (now) => wakeForHedge(now, world)),
-      judgeRequest,
+      replyIfDecided,
     );
   },
   attemptEnded: (state, { attemptId, outcome, shardIndex: only }, world) => {
     const shards = only === undefined ? shardsOf(state, attemptId) : [only];
     const ended = forEachStep(unchanged(state), shards, (now, shardIndex) => {
-      return takeOutcome(now, { shardIndex, attemptId, outcome, world });
+      return applyOutcome(now, { shardIndex, attemptId, outcome, world });
     });
     return judgeAfterCalls(ended, world);
   },
   partsRelayed: (state, { attemptId, parts }, world) => {
-    const taken = takeRelayed(state, parts);
+    const taken = applyRelayedParts(state, parts);
     const asked = forEachStep(unchanged(taken), shardsOf(taken, attemptId), (now, shardIndex) => {
-      const why = parts.lost.get(now.shards[shardIndex]?.service ?? "");
+      const why = parts.failed.get(now.shards[shardIndex]?.service ?? "");
       if (why === undefined) {
         return step(now);
       }
-      const outcome = lostPartOutcome(why);
-      return takeOutcome(now, { shardIndex, attemptId, outcome, world });
+      const outcome = failedPartOutcome(why);
+      return applyOutcome(now, { shardIndex, attemptId, outcome, world });
     });
     return judgeAfterCalls(asked, world);
   },
@@ -138,16 +142,16 @@
 };
 
 /** Judges after an attempt's end. The timer stands as it is unless calls were made that may need another. */
-function judgeAfterCalls(made: RequestStep, world: RequestWorld): RequestStep {
+function judgeAfterCalls(made: RequestStep, world: RequestContext): RequestStep {
   const isWaiting = made.state.shards.some(({ next }) => next !== undefined);
   if (made.effects.length === 0 && !isWaiting) {
-    return judgeRequest(made.state);
+    return replyIfDecided(made.state);
   }
-  const called = andThen(bundleFarCalls(made, world), (now) => wakeForHedge(now, world));
-  return andThen(called, judgeRequest);
+  const called = andThen(batchRemoteCalls(made, world), (now) => wakeForHedge(now, world));
+  return andThen(called, replyIfDecided);
 }
 
-type TimerHandler = (state: RequestState, world: RequestWorld) => RequestStep;
+type TimerHandler = (state: RequestState, world: RequestContext) => RequestStep;
 
 const TIMER_HANDLERS: Readonly<Record<RequestTimer, TimerHandler>> = {
   hedge: (state, world) => {
@@ -157,19 +161,19 @@
         return step(now);
       }
       return shard.next === undefined
-        ? askAgain(now, { shardIndex, world, kind: "hedge" })
-        : askOrWait(now, { shardIndex, world, kind: shard.next.kind });
+        ? sendExtraCall(now, { shardIndex, world, kind: "hedge" })
+        : retryOrDefer(now, { shardIndex, world, kind: shard.next.kind });
     });
-    const called = bundleFarCalls(hedged, world);
+    const called = batchRemoteCalls(hedged, world);
     const woken = andThen(called, (now) => wakeForHedge(now, world, { isRetry: true }));
-    return andThen(woken, judgeRequest);
+    return andThen(woken, replyIfDecided);
   },
-  aim: (state) => judgeRequest({ ...state, pastAim: true }),
-  deadline: (state) => judgeAtDeadline(state),
+  aim: (state) => replyIfDecided({ ...state, pastObjective: true }),
+  deadline: (state) => replyAtDeadline(state),
 };
 
 function setFirstTimers(state: RequestState): RequestStep {
-  const { aimAtMs, deadlineAtMs, route } = state.terms;
+  const { objectiveAtMs: aimAtMs, deadlineAtMs, route } = state.terms;
   const deadline: RequestEffect = { kind: "wake", timer: "deadline", atMs: deadlineAtMs };
   const aim: RequestEffect = { kind: "wake", timer: "aim", atMs: aimAtMs };
   return route.target.kind === "gather" ? step(state, deadline, aim) : step(state, deadline);
@@ -185,7 +189,7 @@
 function askingAtMs(
   { terms }: RequestState,
   shard: ShardState,
-  { nowMs, waitedMs }: RequestWorld,
+  { nowMs, eventLoopIdleMs: waitedMs }: RequestContext,
 ): number {
   if (shard.next !== undefined && !isSettled(shard)) {
     return shard.next.atMs;
@@ -194,9 +198,9 @@
   if (isSettled(shard) || only === undefined || shard.open.length > 1) {
     return Number.POSITIVE_INFINITY;
   }
-  const aimMs = terms.aimAtMs - terms.arrivedAtMs;
+  const aimMs = terms.objectiveAtMs - terms.arrivedAtMs;
   const usualMs = Math.max(aimMs * HEDGE_AIM_SHARE, only.expectedMs * HEDGE_EXPECTED_FACTOR);
-  const delayMs = Math.max(only.leastMs, Math.min(aimMs * HEDGE_LATEST_AIM_SHARE, usualMs));
+  const delayMs = Math.max(only.minHedgeDelayMs, Math.min(aimMs * HEDGE_LATEST_AIM_SHARE, usualMs));
   const unwaitedMs = delayMs * LEAST_WAITED_SHARE - (waitedMs - only.startedAtWaitedMs);
   return Math.max(only.startedAtMs + delayMs, nowMs + unwaitedMs);
 }
@@ -207,11 +211,11 @@
  */
 function wakeForHedge(
   state: RequestState,
-  world: RequestWorld,
+  world: RequestContext,
   { isRetry = false }: { readonly isRetry?: boolean } = {},
 ): RequestStep {
   const { nowMs } = world;
-  const { aimAtMs, arrivedAtMs, deadlineAtMs, maxAttempts, route } = state.terms;
+  const { objectiveAtMs: aimAtMs, arrivedAtMs, deadlineAtMs, maxAttempts, route } = state.terms;
   if (state.done || !route.repeatable) {
     return step(state);
   }
--- a/request/request_state.ts
+++ b/request/request_state.ts
@@ -5,9 +5,9 @@
  */
 
 import type { Overload, PartsShortfall } from "../admission/mod.js";
-import type { Barrier } from "../leaf_access/mod.js";
+import type { BlockReason } from "../leaf_access/mod.js";
 import type { ExtraCallKind } from "../limits/mod.js";
-import type { Calling } from "../quarantine/mod.js";
+import type { CallPermission } from "../quarantine/mod.js";
 import type { Route } from "../routing/mod.js";
 
 /** Headers of an answer, names in lower case. */
@@ -24,7 +24,7 @@
 }
 
 /** Why another box has no part. */
-export type LostPart =
+export type FailedPart =
   /** No leaf was asked. */
   | "declined"
   /** The leaf refused the call. */
@@ -34,7 +34,7 @@
   /** The leaf's connection ended before its answer. */
   | "connection lost"
   /** The box does not send the query, as leafs were lost under it. */
-  | "held";
+  | "blocked";
 
 /** Parts of several shards that another box has got and merged. */
 export interface RelayedParts {
@@ -43,7 +43,7 @@
   /** The greatest records of those parts. */
   readonly records: Buffer;
   /** Services of which there is no part, and why; those not named may still come. */
-  readonly lost: ReadonlyMap<string, LostPart>;
+  readonly failed: ReadonlyMap<string, FailedPart>;
   /** Time that calls wait at the leafs near the box, in milliseconds; told with the first parts. */
   readonly queueMs?: number;
 }
@@ -61,43 +61,43 @@
       readonly sent: boolean;
       readonly reason: string;
       /** Whether the leaf's connection ended while the answer was awaited: the leaf may have ended with it. */
-      readonly connectionLost?: boolean;
+      readonly connectionClosed?: boolean;
       /** Why it was not sent, where the leaf may not be called at this moment. */
-      readonly barrier?: Barrier;
+      readonly blockReason?: BlockReason;
     };
 
 /** One try to get a shard's part, from a leaf or through a box near its leafs. */
 export interface Attempt {
   readonly attemptId: number;
   /** Leaf or box that was asked. */
-  readonly asked: string;
+  readonly calledId: string;
   readonly startedAtMs: number;
   /** The same moment by the clock that stands still while this box is busy. */
   readonly startedAtWaitedMs: number;
   /** Time in which it is expected to be answered, in milliseconds. */
   readonly expectedMs: number;
   /** Least time before which nothing can be concluded from its silence, in milliseconds. */
-  readonly leastMs: number;
+  readonly minHedgeDelayMs: number;
 }
 
 /** What a call beyond a shard's first is for; one in place of a call that was never sent is no extra call. */
-export type AskingKind = ExtraCallKind | "replacement";
+export type ExtraAttemptKind = ExtraCallKind | "replacement";
 
 /** A call that is to be made later. */
-export interface NextAsking {
+export interface DeferredAttempt {
   readonly atMs: number;
-  readonly kind: AskingKind;
+  readonly kind: ExtraAttemptKind;
 }
 
 /** One shard of a request; a request to a single leaf has one. */
 export interface ShardState {
   readonly service: string;
   /** Leafs asked so far; none is asked twice but those that refused and so did not run the request. */
-  readonly asked: ReadonlySet<string>;
+  readonly calledLeafIds: ReadonlySet<string>;
   /** Leafs that refused, once for each call. */
   readonly refusedBy: ReadonlyArray<string>;
   /** Leaf that another box was expected to ask; asked directly only where no other is left. */
-  readonly expectedOfBox: string | undefined;
+  readonly expectedRelayLeafId: string | undefined;
   /** Attempts that may have run, those under way included. */
   readonly runs: number;
   readonly open: ReadonlyArray<Attempt>;
@@ -105,11 +105,11 @@
   /** Whether its part came in through another box; goes before a part of its own. */
   readonly relayed: boolean;
   /** When it is asked again and what for, where no call is under way and none could be made yet. */
-  readonly next: NextAsking | undefined;
+  readonly next: DeferredAttempt | undefined;
   /** A leaf's own failure, kept in case there is nothing better. */
-  readonly failure: LeafAnswer | undefined;
+  readonly errorAnswer: LeafAnswer | undefined;
   /** Whether nothing more can be got for it. */
-  readonly lost: boolean;
+  readonly failed: boolean;
 }
 
 /** A request as its caller sent it, as far as deciding goes. */
@@ -121,14 +121,14 @@
   /** Moment at which the final answer is due: the caller's deadline or the route's timeout. */
   readonly deadlineAtMs: number;
   /** Moment by which the answer is worth most. */
-  readonly aimAtMs: number;
+  readonly objectiveAtMs: number;
   /** Attempts for each shard, as policy and route allow. */
   readonly maxAttempts: number;
   /**
    * Longest time that calls may be expected to wait at leafs, in milliseconds; with more the request
    * could hardly be answered by its aim, and the leafs had better work on others.
    */
-  readonly mostQueueMs: number;
+  readonly maxQueueMs: number;
   /** Share of the parts, 0 to 1, with which the answer is given without waiting for more. */
   readonly finishShare: number;
 }
@@ -143,9 +143,9 @@
   readonly relayed: ReadonlyArray<RelayedParts>;
   readonly nextAttemptId: number;
   /** Whether the leafs' queues were long when it was planned, so that second calls would add to them. */
-  readonly crowded: boolean;
+  readonly congested: boolean;
   /** Whether the aim has passed, so that the least share suffices. */
-  readonly pastAim: boolean;
+  readonly pastObjective: boolean;
   readonly done: boolean;
 }
 
@@ -183,7 +183,7 @@
 }
 
 /** One leaf that another box is asked to call. */
-export interface FarCall {
+export interface RemoteCall {
   readonly attemptId: number;
   readonly service: string;
   readonly leafId: string;
@@ -206,9 +206,9 @@
   | {
       readonly kind: "askThrough";
       readonly box: string;
-      readonly calls: ReadonlyArray<FarCall>;
+      readonly calls: ReadonlyArray<RemoteCall>;
       /** Records below this one are not wanted any more; all are where there is none. */
-      readonly leastRecord: Buffer | undefined;
+      readonly minRecord: Buffer | undefined;
       readonly deadlineAtMs: number;
     }
   /** Has one box near the leafs of several shards ask them, and hand over their parts merged. */
@@ -218,7 +218,7 @@
       readonly box: string;
       readonly calls: ReadonlyArray<RelayedCall>;
       /** Longest time that the box waits before it hands over what has come in, in milliseconds. */
-      readonly patienceMs: number;
+      readonly waitLimitMs: number;
       readonly deadlineAtMs: number;
     }
   | { readonly kind: "abandon"; readonly attemptId: number }
@@ -258,7 +258,7 @@
   /** Time that a call is expected to wait there before it is run, in milliseconds. */
   readonly queueMs: number;
   /** Share of the calls there that are to be expected to come to nothing, 0 to 1. */
-  readonly lossShare: number;
+  readonly failureRate: number;
 }
 
 /** A box that may be asked for the parts of leafs near it. */
@@ -269,10 +269,10 @@
 }
 
 /** What a request may ask of its box while deciding. */
-export interface RequestWorld {
+export interface RequestContext {
   readonly nowMs: number;
   /** The moment by the clock that stands still while this box is busy, in milliseconds. */
-  readonly waitedMs: number;
+  readonly eventLoopIdleMs: number;
   /** Picks the leaf to ask next, or nothing where there is none but those excluded. */
   chooseLeaf(service: string, excluded: ReadonlySet<string>): LeafChoice | undefined;
   /** Picks a box at a place to ask through, or nothing where there is none to rely on. */
@@ -290,9 +290,9 @@
   /** Tells how many extra calls the service's budget allows now. */
   extraCallsLeft(service: string): number;
   /** Tells how the next call may go: leafs may have been lost under the query. */
-  calling(): Calling;
+  calling(): CallPermission;
   /** Claims the only call that may be under way. */
   beginTrial(): void;
   /** Tells when a query that is held may come back, as the time from now in milliseconds. */
-  heldForMs(): number;
+  blockedForMs(): number;
 }
--- a/routing/mod.ts
+++ b/routing/mod.ts
@@ -5,4 +5,4 @@
  */
 export * from "./configuration.js";
 export * from "./route_table.js";
-export * from "./split_service.js";
+export * from "./select_service.js";
--- a/routing/route_table.ts
+++ b/routing/route_table.ts
@@ -23,7 +23,7 @@
  * @param configuration - What operators configured.
  * @returns The table.
  */
-export function routeTable(configuration: Configuration): RouteTable {
+export function buildRouteTable(configuration: Configuration): RouteTable {
   const routesByHost = new Map<string, Array<Route>>();
   for (const route of configuration.routes) {
     const host = route.host.toLowerCase();
@@ -53,7 +53,7 @@
  * @param host - The host.
  * @returns Regions that are a home of each of its routes; empty where a route is served anywhere.
  */
-export function homesOfHost(table: RouteTable, host: string): ReadonlyArray<string> {
+export function allowedRegionsOfHost(table: RouteTable, host: string): ReadonlyArray<string> {
   const [first, ...others] = table.routesByHost.get(host.toLowerCase()) ?? [];
   const homes = first?.homes ?? [];
   return homes.filter((home) => others.every((route) => route.homes.includes(home)));
--- a/routing/route_table_test.ts
+++ b/routing/route_table_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import type { Route } from "./configuration.js";
-import { findRoute, routeTable } from "./route_table.js";
+import { buildRouteTable, findRoute } from "./route_table.js";
 
 function route(name: string, host: string, prefix: string): Route {
   return {
@@ -17,7 +17,7 @@
   };
 }
 
-const TABLE = routeTable({
+const TABLE = buildRouteTable({
   version: 1,
   routes: [route("short", "h.example", "/a/"), route("long", "h.example", "/a/b/")],
   services: [],
@@ -43,6 +43,6 @@
   const target = { kind: "gather", shards: ["s"], topRecords: 1, leastShare: 1 } as const;
   const gather = { ...route("all shards", "h.example", "/b/"), target };
   const { configuration } = TABLE;
-  const { queueAllowancesMs } = routeTable({ ...configuration, routes: [single, gather] });
+  const { queueAllowancesMs } = buildRouteTable({ ...configuration, routes: [single, gather] });
   t.same([...queueAllowancesMs.keys()], ["all shards"]);
 });
--- a/routing/split_service.ts
+++ b/routing/select_service.ts
@@ -6,12 +6,12 @@
 import type { WeightedService } from "./configuration.js";
 
 /** How far each service of a route is ahead of or behind its due share. */
-export type SplitCredits = ReadonlyMap<string, number>;
+export type ServiceCredits = ReadonlyMap<string, number>;
 
 /** A choice and the credits after it. */
-export interface SplitChoice {
+export interface ServiceChoice {
   readonly service: string;
-  readonly credits: SplitCredits;
+  readonly credits: ServiceCredits;
 }
 
 /**
@@ -22,10 +22,10 @@
  * @param credits - Credits after the last choice; empty at first.
  * @returns The service and the new credits.
  */
-export function splitService(
+export function selectService(
   services: ReadonlyArray<WeightedService>,
-  credits: SplitCredits,
-): SplitChoice {
+  credits: ServiceCredits,
+): ServiceChoice {
   const totalWeight = services.reduce((sum, { weight }) => sum + weight, 0);
   const raised = services.map(({ service, weight }) => {
     return { service, credit: (credits.get(service) ?? 0) + weight };
--- a/routing/split_service_test.ts
+++ b/routing/select_service_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { type SplitCredits, splitService } from "./split_service.js";
+import { type ServiceCredits, selectService } from "./select_service.js";
 
 t.test("splitService() is close to the weights over any run of requests", async (t) => {
   const services = [
@@ -7,10 +7,10 @@
     { service: "b", weight: 20 },
     { service: "c", weight: 10 },
   ];
-  let credits: SplitCredits = new Map();
+  let credits: ServiceCredits = new Map();
   const chosen: Array<string> = [];
   for (let number = 0; number < 200; number++) {
-    const choice = splitService(services, credits);
+    const choice = selectService(services, credits);
     chosen.push(choice.service);
     credits = choice.credits;
   }
@@ -24,7 +24,7 @@
 
 t.test("splitService() drops the credit of a service that left the route", async (t) => {
   const credits = new Map([["gone", 1_000]]);
-  const choice = splitService([{ service: "a", weight: 1 }], credits);
+  const choice = selectService([{ service: "a", weight: 1 }], credits);
   t.equal(choice.service, "a");
   t.notOk(choice.credits.has("gone"));
 });
--- a/settings/parse_settings.ts
+++ b/settings/parse_settings.ts
@@ -5,7 +5,7 @@
  */
 import { parseArgs } from "node:util";
 import { err, ok, type Result } from "neverthrow";
-import { SETTING_READERS, type SettingSpecs, type SettingValues } from "./setting_spec.js";
+import { SETTING_PARSERS, type SettingSpecs, type SettingValues } from "./setting_spec.js";
 
 /** A program's settings as read. */
 export type Settings<Specs extends SettingSpecs> = {
@@ -21,7 +21,7 @@
 /** Settings with the words that are not flags. */
 export interface ParsedSettings<Specs extends SettingSpecs> {
   readonly settings: Settings<Specs>;
-  readonly words: ReadonlyArray<string>;
+  readonly positionals: ReadonlyArray<string>;
   /** Whether help was asked for; the settings are not to be used then. */
   readonly help: boolean;
 }
@@ -42,12 +42,12 @@
   const help = values.help === true;
   const settings: Record<string, string | number | boolean> = {};
   for (const [name, spec] of Object.entries(specs)) {
-    const given = values[name] ?? env[envName(name)] ?? spec.fallback;
+    const given = values[name] ?? env[envVariableName(name)] ?? spec.fallback;
     if (given === undefined) {
-      faults.push(`Cannot start: --${name} (or ${envName(name)}) is missing`);
+      faults.push(`Cannot start: --${name} (or ${envVariableName(name)}) is missing`);
       continue;
     }
-    const read = SETTING_READERS[spec.kind](String(given), spec);
+    const read = SETTING_PARSERS[spec.kind](String(given), spec);
     if (read.isErr()) {
       faults.push(`Cannot accept --${name} "${given}": ${read.error}`);
     } else {
@@ -57,7 +57,7 @@
   if (faults.length > 0 && !help) {
     return err(faults);
   }
-  return ok({ settings: settings as Settings<Specs>, words: positionals, help });
+  return ok({ settings: settings as Settings<Specs>, positionals: positionals, help });
 }
 
 interface ReadArgs {
@@ -118,7 +118,7 @@
  * @param name - Name of the flag.
  * @returns The variable's name.
  */
-export function envName(name: string): string {
+export function envVariableName(name: string): string {
   return `RACKVALE_${name.toUpperCase().replaceAll("-", "_")}`;
 }
 
@@ -133,7 +133,7 @@
   const lines = Object.entries(specs).map(([name, { kind, help, fallback }]) => {
     const value = kind === "flag" ? "" : ` ${kind.toUpperCase()}`;
     const rest = fallback === undefined ? "must be given" : `default "${fallback}"`;
-    return `  --${name}${value}\n      ${help} (${envName(name)}; ${rest})`;
+    return `  --${name}${value}\n      ${help} (${envVariableName(name)}; ${rest})`;
   });
   return [usage, "", "Settings:", ...lines, "  --help", "      Prints this.", ""].join("\n");
 }
@@ -145,7 +145,7 @@
  * @param specs - The program's settings.
  * @returns The settings and the words that are not flags.
  */
-export function settingsOrExit<Specs extends SettingSpecs>(
+export function parseSettingsOrExit<Specs extends SettingSpecs>(
   usage: string,
   specs: Specs,
 ): ParsedSettings<Specs> {
--- a/settings/setting_spec.ts
+++ b/settings/setting_spec.ts
@@ -13,8 +13,8 @@
   readonly help: string;
   /** Value as text when none is given; without one the setting must be given. */
   readonly fallback?: string;
-  readonly least?: number;
-  readonly most?: number;
+  readonly min?: number;
+  readonly max?: number;
   readonly choices?: ReadonlyArray<string>;
 }
 
@@ -35,9 +35,10 @@
 type Reader = (text: string, spec: SettingSpec) => Result<string | number | boolean, string>;
 
 /** How each kind of setting is read from text. */
-export const SETTING_READERS: Readonly<Record<SettingSpec["kind"], Reader>> = {
+export const SETTING_PARSERS: Readonly<Record<SettingSpec["kind"], Reader>> = {
   text: (text) => ok(text),
-  number: (text, { least = 0, most = Number.MAX_SAFE_INTEGER }) => readNumber(text, least, most),
+  number: (text, { min: least = 0, max: most = Number.MAX_SAFE_INTEGER }) =>
+    readNumber(text, least, most),
   address: (text) => (text === "" || isIP(text) > 0 ? ok(text) : err("expected an IP address")),
   port: (text) => readNumber(text, 0, 65_535),
   flag: (text) =>
--- a/soak/fake_platform.ts
+++ b/soak/fake_platform.ts
@@ -5,7 +5,7 @@
  */
 import { err, ok, type Result, ResultAsync } from "neverthrow";
 import type { BoxList, CatalogObject } from "../model/mod.js";
-import type { PlatformError, PlatformPort, StoredObject } from "../platform/mod.js";
+import type { PlatformError, PlatformPort, VersionedObject } from "../platform/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
 
 interface Stored {
@@ -85,7 +85,7 @@
     };
   }
 
-  #read(key: string): StoredObject {
+  #read(key: string): VersionedObject {
     const stored = this.#history.findLast((each) => each.key === key);
     return { version: stored?.version ?? 0, object: stored?.object };
   }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -4,13 +4,13 @@
  *
  * @module
  */
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import { runSoak, type SoakReport } from "./run_soak.js";
 import { shrinkSoak } from "./shrink.js";
 
 const USAGE = "Usage: npm run soak -- --seed N --steps N [--runs N]";
 
-const { settings } = settingsOrExit(USAGE, {
+const { settings } = parseSettingsOrExit(USAGE, {
   seed: { kind: "number", help: "Seed of the first run", fallback: "1" },
   steps: { kind: "number", help: "Events in each run", fallback: "100000" },
   runs: { kind: "number", help: "Runs, each with the next seed", fallback: "1" },
--- a/soak/run_soak.ts
+++ b/soak/run_soak.ts
@@ -119,7 +119,7 @@
   services: SoakServices,
   goesOn: () => boolean,
 ): Promise<void> {
-  while (goesOn() && schedule.next()) {
+  while (goesOn() && schedule.runNext()) {
     if (services.pending > 0) {
       // Submissions are promises; all that is settled must go on before time does.
       await new Promise((resolve) => setImmediate(resolve));
--- a/soak/soak_control.ts
+++ b/soak/soak_control.ts
@@ -75,7 +75,7 @@
       node.isAlive = false;
       this.#world.network.breakLinks((link) => link.entry === node || link.pool === node);
     },
-    log: (node, { part, message, fields }) => {
+    log: (node, { component: part, message, fields }) => {
       if (part === "invariant") {
         const { memberId } = node.self;
         this.#world.broken.push(`${memberId}: ${message} ${JSON.stringify(fields)}`);
--- a/standins/backend_main.ts
+++ b/standins/backend_main.ts
@@ -4,10 +4,10 @@
  *
  * @module
  */
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 import { startBackendStandin } from "./backend_standin.js";
 
-const { settings } = settingsOrExit("Usage: backend_main --address IP --port PORT", {
+const { settings } = parseSettingsOrExit("Usage: backend_main --address IP --port PORT", {
   address: { kind: "address", help: "IP address to listen on", fallback: "127.0.0.1" },
   port: { kind: "port", help: "TCP port to steer it; 0 for any that is free", fallback: "0" },
 });
--- a/standins/platform_main.ts
+++ b/standins/platform_main.ts
@@ -5,9 +5,9 @@
  *
  * @module
  */
-import { settingsOrExit } from "../settings/mod.js";
+import { parseSettingsOrExit } from "../settings/mod.js";
 
-const { settings } = settingsOrExit("Usage: platform_main --address IP --port PORT", {
+const { settings } = parseSettingsOrExit("Usage: platform_main --address IP --port PORT", {
   address: { kind: "address", help: "IP address to listen on", fallback: "127.0.0.1" },
   port: { kind: "port", help: "TCP port; 0 for any that is free", fallback: "0" },
 });
--- a/telemetry/box_telemetry.ts
+++ b/telemetry/box_telemetry.ts
@@ -10,7 +10,7 @@
 import type { LogEffect } from "../core/mod.js";
 
 /** Lines a second that are written for requests; more are counted and told once a second. */
-export const REQUEST_LINES_PER_SECOND = 60;
+export const MAX_REQUEST_LINES_PER_SECOND = 60;
 
 /** Bytes that wait for a slow reader of the log; lines beyond are dropped. */
 const MAX_WAITING_BYTES = 1_048_576;
@@ -33,13 +33,13 @@
 export type LogFields = LogEffect["fields"];
 
 /** A counter by one label for the busiest paths. */
-export interface Tally {
+export interface LabeledCounter {
   /** Counts one more with a label. */
   add(label: string): void;
 }
 
 /** What a box has of the platform's store. */
-export interface StoreView {
+export interface StoreStats {
   /** Calls to it since the start. */
   readonly calls: number;
   /** Age of its last answer in milliseconds, by kind of object that the box watches. */
@@ -51,16 +51,16 @@
   /** Writes a line, whatever the volume: starts, stops, what is lost and regained. */
   event(level: LogEffect["level"], sentence: string, fields?: LogFields): void;
   /** Writes the line of a request, unless too many were written in this second. */
-  requestLine(sentence: string, fields: LogFields): void;
+  logRequest(sentence: string, fields: LogFields): void;
   readonly requests: Counter<"route" | "outcome">;
   readonly requestMs: Histogram<"route">;
-  readonly attempts: Tally;
-  readonly extraCalls: Tally;
+  readonly attempts: LabeledCounter;
+  readonly extraCalls: LabeledCounter;
   readonly relayedParts: Counter;
-  readonly quarantineChanges: Tally;
+  readonly quarantineChanges: LabeledCounter;
   readonly storeAnswers: Counter<"kind" | "outcome">;
   /** Shows what this box has of the store now. */
-  noteStore(store: StoreView): void;
+  setStoreStats(store: StoreStats): void;
   readonly linesDropped: Counter;
   /** Gives all metrics as text. */
   metricsText(): Promise<string>;
@@ -75,7 +75,7 @@
  * @param options - File descriptor of the log; standard output by default.
  * @returns The telemetry.
  */
-export function boxTelemetry(
+export function createBoxTelemetry(
   box: string,
   { logFd = 1 }: { readonly logFd?: number } = {},
 ): BoxTelemetry {
@@ -103,14 +103,14 @@
   let lines = 0;
   return {
     event: (level, sentence, fields = {}) => log[level](fields, sentence),
-    requestLine: (sentence, fields) => {
+    logRequest: (sentence, fields) => {
       const nowSecond = Math.floor(nowMs() / 1_000);
       if (nowSecond !== second) {
         second = nowSecond;
         lines = 0;
       }
       lines += 1;
-      if (lines > REQUEST_LINES_PER_SECOND) {
+      if (lines > MAX_REQUEST_LINES_PER_SECOND) {
         linesDropped.inc();
       } else {
         log.info(fields, sentence);
@@ -158,7 +158,7 @@
       labelNames: ["kind", "outcome"],
       registers,
     }),
-    noteStore: storeGauges(registers),
+    setStoreStats: storeGauges(registers),
     linesDropped,
     metricsText: () => registry.metrics(),
     flush: () => {
@@ -189,7 +189,7 @@
   };
 }
 
-function storeGauges(registers: Array<Registry>): BoxTelemetry["noteStore"] {
+function storeGauges(registers: Array<Registry>): BoxTelemetry["setStoreStats"] {
   const storeCalls = new Gauge({
     name: "rackvale_store_calls",
     help: "Calls to the platform's store since the start",
@@ -218,7 +218,7 @@
 }
 
 /** A counter for the busiest paths: labels are looked up only when metrics are read. */
-function tally({ name, help, labelName, registers }: TallyOptions): Tally {
+function tally({ name, help, labelName, registers }: TallyOptions): LabeledCounter {
   const counts = new Map<string, number>();
   // Registers itself.
   new Counter({
--- a/telemetry/box_telemetry_test.ts
+++ b/telemetry/box_telemetry_test.ts
@@ -6,7 +6,7 @@
 import { createInterface } from "node:readline";
 import t from "tap";
 import { until } from "../standins/waiting.js";
-import { boxTelemetry, REQUEST_LINES_PER_SECOND } from "./box_telemetry.js";
+import { createBoxTelemetry, MAX_REQUEST_LINES_PER_SECOND } from "./box_telemetry.js";
 
 /** A pipe that nobody reads until told to. */
 function unreadPipe() {
@@ -39,7 +39,7 @@
 t.test("a reader that has stopped holds up nothing; lines are dropped and counted", async (t) => {
   const { folder, logFd, read } = unreadPipe();
   t.teardown(() => rmSync(folder, { recursive: true }));
-  const telemetry = boxTelemetry("b", { logFd });
+  const telemetry = createBoxTelemetry("b", { logFd });
   for (let number = 0; number < 20_000; number++) {
     telemetry.event("info", "test: line", { number, filling: "x".repeat(100) });
   }
@@ -58,9 +58,9 @@
 t.test("lines of requests are bounded in each second", async (t) => {
   const { folder, logFd, read } = unreadPipe();
   t.teardown(() => rmSync(folder, { recursive: true }));
-  const telemetry = boxTelemetry("b", { logFd });
-  for (let number = 0; number < 10 * REQUEST_LINES_PER_SECOND; number++) {
-    telemetry.requestLine("request: answered", { requestId: `r${number}` });
+  const telemetry = createBoxTelemetry("b", { logFd });
+  for (let number = 0; number < 10 * MAX_REQUEST_LINES_PER_SECOND; number++) {
+    telemetry.logRequest("request: answered", { requestId: `r${number}` });
   }
   telemetry.event("info", "test: last");
   const input = read();
@@ -68,6 +68,9 @@
   await telemetry.flush();
   const lines = (await reading).filter((line) => line.includes("request: answered"));
   // The loop may run over the end of a second, hardly over two.
-  t.ok(lines.length >= REQUEST_LINES_PER_SECOND && lines.length <= 3 * REQUEST_LINES_PER_SECOND);
+  t.ok(
+    lines.length >= MAX_REQUEST_LINES_PER_SECOND &&
+      lines.length <= 3 * MAX_REQUEST_LINES_PER_SECOND,
+  );
   input.destroy();
 });
--- a/telemetry/run_telemetry.ts
+++ b/telemetry/run_telemetry.ts
@@ -48,7 +48,7 @@
   });
   const counts = new Map<string, number>();
   const writers: Writers = {
-    log: ({ level, part, message, fields: values }) => {
+    log: ({ level, component: part, message, fields: values }) => {
       log[level]({ ...values }, `${part}: ${message}`);
     },
     count: ({ metric, by, tags }) => {
--- a/tickets/tickets.ts
+++ b/tickets/tickets.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import { Map as ImmutableMap } from "immutable";
-import { type QueryAnswer, TICKET_KEEP_MS } from "../model/mod.js";
+import { type QueryAnswer, TICKET_TTL_MS } from "../model/mod.js";
 
 /** Sequence numbers remembered for each ticket. */
 export const TICKET_WINDOW = 64;
@@ -29,14 +29,14 @@
 }
 
 /** All tickets of an entry. */
-export interface Tickets {
+export interface TicketRegistry {
   readonly incarnation: string;
-  readonly issued: number;
+  readonly issuedCount: number;
   readonly records: ImmutableMap<string, TicketRecord>;
 }
 
 /** What may be done with a query that comes under a ticket. */
-export type TicketVerdict =
+export type TicketDecision =
   | { readonly kind: "run" }
   | { readonly kind: "join"; readonly queryId: string }
   | { readonly kind: "replay"; readonly answer: QueryAnswer }
@@ -49,8 +49,8 @@
  * @param incarnation - This run of the entry.
  * @returns The tickets.
  */
-export function newTickets(incarnation: string): Tickets {
-  return { incarnation, issued: 0, records: ImmutableMap() };
+export function createTicketRegistry(incarnation: string): TicketRegistry {
+  return { incarnation, issuedCount: 0, records: ImmutableMap() };
 }
 
 /**
@@ -61,22 +61,25 @@
  * @returns The ticket and the tickets after that.
  */
 export function issueTicket(
-  tickets: Tickets,
+  tickets: TicketRegistry,
   { nowMs }: { readonly nowMs: number },
-): { readonly ticket: string; readonly tickets: Tickets } {
-  const issued = tickets.issued + 1;
+): { readonly ticket: string; readonly tickets: TicketRegistry } {
+  const issued = tickets.issuedCount + 1;
   const ticket = `${tickets.incarnation}~${issued}`;
   const kept = tickets.records.filter((each) => nowMs < each.usableUntilMs + TICKET_GRACE_MS);
   const record: TicketRecord = {
     uses: ImmutableMap(),
     highestSequence: 0,
-    usableUntilMs: nowMs + TICKET_KEEP_MS,
+    usableUntilMs: nowMs + TICKET_TTL_MS,
+  };
+  return {
+    ticket,
+    tickets: { ...tickets, issuedCount: issued, records: kept.set(ticket, record) },
   };
-  return { ticket, tickets: { ...tickets, issued, records: kept.set(ticket, record) } };
 }
 
 /** A query's place under a ticket. */
-export interface TicketPlace {
+export interface TicketPosition {
   readonly ticket: string;
   readonly sequence: number;
 }
@@ -89,11 +92,11 @@
  * @param options - The present moment.
  * @returns The verdict; `run` only for a sequence number that was never run here.
  */
-export function judgeTicket(
-  tickets: Tickets,
-  { ticket, sequence }: TicketPlace,
+export function checkTicket(
+  tickets: TicketRegistry,
+  { ticket, sequence }: TicketPosition,
   { nowMs }: { readonly nowMs: number },
-): TicketVerdict {
+): TicketDecision {
   const incarnation = ticket.split("~")[0] ?? "";
   if (incarnation !== tickets.incarnation) {
     return { kind: "elsewhere", incarnation };
@@ -131,7 +134,11 @@
  * @param queryId - The query.
  * @returns The tickets after that.
  */
-export function noteRunning(tickets: Tickets, place: TicketPlace, queryId: string): Tickets {
+export function recordRunning(
+  tickets: TicketRegistry,
+  place: TicketPosition,
+  queryId: string,
+): TicketRegistry {
   return setUse(tickets, place, { kind: "running", queryId });
 }
 
@@ -144,15 +151,19 @@
  * @param answer - Its answer.
  * @returns The tickets after that.
  */
-export function noteFinished(tickets: Tickets, place: TicketPlace, answer: QueryAnswer): Tickets {
+export function recordFinished(
+  tickets: TicketRegistry,
+  place: TicketPosition,
+  answer: QueryAnswer,
+): TicketRegistry {
   return setUse(tickets, place, answer.notRun ? undefined : { kind: "finished", answer });
 }
 
 function setUse(
-  tickets: Tickets,
-  { ticket, sequence }: TicketPlace,
+  tickets: TicketRegistry,
+  { ticket, sequence }: TicketPosition,
   use: TicketUse | undefined,
-): Tickets {
+): TicketRegistry {
   const record = tickets.records.get(ticket);
   if (record === undefined) {
     return tickets;
--- a/tickets/tickets_test.ts
+++ b/tickets/tickets_test.ts
@@ -1,11 +1,11 @@
 import t from "tap";
 import type { QueryAnswer } from "../model/mod.js";
 import {
+  checkTicket,
+  createTicketRegistry,
   issueTicket,
-  judgeTicket,
-  newTickets,
-  noteFinished,
-  noteRunning,
+  recordFinished,
+  recordRunning,
   TICKET_WINDOW,
 } from "./tickets.js";
 
@@ -27,36 +27,36 @@
 const NOW = { nowMs: 1_000 };
 
 t.test("judgeTicket() lets a sequence run once, then joins and replays it", async (t) => {
-  const { ticket, tickets } = issueTicket(newTickets("inc"), NOW);
+  const { ticket, tickets } = issueTicket(createTicketRegistry("inc"), NOW);
   const place = { ticket, sequence: 1 };
-  t.equal(judgeTicket(tickets, place, NOW).kind, "run");
-  const running = noteRunning(tickets, place, "q1");
-  t.same(judgeTicket(running, place, NOW), { kind: "join", queryId: "q1" });
-  const finished = noteFinished(running, place, answer(false));
-  t.equal(judgeTicket(finished, place, NOW).kind, "replay");
+  t.equal(checkTicket(tickets, place, NOW).kind, "run");
+  const running = recordRunning(tickets, place, "q1");
+  t.same(checkTicket(running, place, NOW), { kind: "join", queryId: "q1" });
+  const finished = recordFinished(running, place, answer(false));
+  t.equal(checkTicket(finished, place, NOW).kind, "replay");
 });
 
 t.test("judgeTicket() lets a sequence that was not run be sent again", async (t) => {
-  const { ticket, tickets } = issueTicket(newTickets("inc"), NOW);
+  const { ticket, tickets } = issueTicket(createTicketRegistry("inc"), NOW);
   const place = { ticket, sequence: 1 };
-  const refused = noteFinished(noteRunning(tickets, place, "q1"), place, answer(true));
-  t.equal(judgeTicket(refused, place, NOW).kind, "run");
+  const refused = recordFinished(recordRunning(tickets, place, "q1"), place, answer(true));
+  t.equal(checkTicket(refused, place, NOW).kind, "run");
 });
 
 t.test(
   "judgeTicket() never runs a sequence that left the window or an expired ticket",
   async (t) => {
-    const { ticket, tickets } = issueTicket(newTickets("inc"), NOW);
+    const { ticket, tickets } = issueTicket(createTicketRegistry("inc"), NOW);
     const late = { ticket, sequence: TICKET_WINDOW + 1 };
-    const moved = noteFinished(noteRunning(tickets, late, "q1"), late, answer(false));
-    t.equal(judgeTicket(moved, { ticket, sequence: 1 }, NOW).kind, "cannotTell");
-    t.equal(judgeTicket(moved, { ticket, sequence: 2 }, { nowMs: 1e9 }).kind, "cannotTell");
+    const moved = recordFinished(recordRunning(tickets, late, "q1"), late, answer(false));
+    t.equal(checkTicket(moved, { ticket, sequence: 1 }, NOW).kind, "cannotTell");
+    t.equal(checkTicket(moved, { ticket, sequence: 2 }, { nowMs: 1e9 }).kind, "cannotTell");
   },
 );
 
 t.test("judgeTicket() sends a ticket of another incarnation elsewhere", async (t) => {
-  const { ticket } = issueTicket(newTickets("other"), NOW);
-  t.same(judgeTicket(newTickets("inc"), { ticket, sequence: 1 }, NOW), {
+  const { ticket } = issueTicket(createTicketRegistry("other"), NOW);
+  t.same(checkTicket(createTicketRegistry("inc"), { ticket, sequence: 1 }, NOW), {
     kind: "elsewhere",
     incarnation: "other",
   });
--- a/tools/layers_test.ts
+++ b/tools/layers_test.ts
@@ -14,7 +14,7 @@
   ["request"],
   ["platform"],
   ["calls", "fleet"],
-  ["relay", "knowledge"],
+  ["relay", "cluster_state"],
   ["box"],
 ];
 
--- a/virtual_time/schedule.ts
+++ b/virtual_time/schedule.ts
@@ -54,7 +54,7 @@
    *
    * @returns Whether there was one.
    */
-  next(): boolean {
+  runNext(): boolean {
     const item = this.#queue.pop();
     if (item === undefined) {
       return false;
