--- a/e2e/failures_test.ts
+++ b/e2e/failures_test.ts
@@ -16,24 +16,24 @@
 const LEDGER = { ...SAMPLE_SHAPES["payout-ledger"], dataCentres: ["here"] };
 
 async function query(entry: FleetProcess | undefined, body: object): Promise<QueryAnswer> {
-  const plain = { caller: "clerk", deadlineMs: 1_500 };
+  const defaults = { caller: "clerk", deadlineMs: 1_500 };
   const url = `${urlOf(entry)}/v1/services/payout-ledger/query`;
-  const { body: answer } = await postJson(url, { ...plain, ...body });
+  const { body: answer } = await postJson(url, { ...defaults, ...body });
   return answer as QueryAnswer;
 }
 
 async function ticketOf(entry: FleetProcess | undefined): Promise<string> {
-  const advice = await getJson(`${urlOf(entry)}/v1/entries?ticket=true`);
-  return (advice as { readonly ticket: string }).ticket;
+  const entries = await getJson(`${urlOf(entry)}/v1/entries?ticket=true`);
+  return (entries as { readonly ticket: string }).ticket;
 }
 
-/** What the backend servers ran for a mark, by their own log. */
+/** Returns the runs of the query with a mark, from the logs of the backend servers. */
 async function runsOf(fleet: Fleet, mark: string): Promise<ReadonlyArray<LeafRun>> {
   const logs = (await fleet.askBackends("/admin/runs")) as ReadonlyArray<ReadonlyArray<LeafRun>>;
   return logs.flat().filter((run) => run.mark === mark);
 }
 
-function mostRunsOfAShard(runs: ReadonlyArray<LeafRun>): number {
+function maxRunsPerShard(runs: ReadonlyArray<LeafRun>): number {
   const counts = new Map<string, number>();
   for (const { shard } of runs) {
     counts.set(shard, (counts.get(shard) ?? 0) + 1);
@@ -54,7 +54,7 @@
   await fleet.setPlatformFaults({ mode: "down" });
   const [one, two, three] = fleet.boxes;
 
-  await t.test("when the caller repeats at the same box and at another", async (t) => {
+  await t.test("when the caller repeats one at the same box and at others", async (t) => {
     const once = { repeatable: false, ticket: await ticketOf(one?.entry), sequence: 1 };
     const body = { ...once, body: { mark: "repeat" } };
     const answers = await Promise.all([
@@ -67,12 +67,12 @@
       answers.map((answer) => answer.outcome),
       ["complete", "complete", "complete", "complete"],
     );
-    t.equal(mostRunsOfAShard(await runsOf(fleet, "repeat")), 1);
+    t.equal(maxRunsPerShard(await runsOf(fleet, "repeat")), 1);
   });
 
-  await t.test("when the pool is frozen past every timeout and wakes", async (t) => {
+  await t.test("when the pools are suspended beyond every timeout and then resumed", async (t) => {
     const ticket = await ticketOf(two?.entry);
-    const body = { repeatable: false, ticket, sequence: 1, body: { mark: "frozen" } };
+    const body = { repeatable: false, ticket, sequence: 1, body: { mark: "suspended" } };
     for (const { pool } of fleet.boxes) {
       pool.signal("SIGSTOP");
     }
@@ -82,28 +82,28 @@
     for (const { pool } of fleet.boxes) {
       pool.signal("SIGCONT");
     }
-    t.equal((await query(two?.entry, body)).outcome, "unknown", "a repeat is told the same");
+    t.equal((await query(two?.entry, body)).outcome, "unknown", "a repeat has the same outcome");
     await pause(1_000);
-    t.ok(mostRunsOfAShard(await runsOf(fleet, "frozen")) <= 1);
+    t.ok(maxRunsPerShard(await runsOf(fleet, "suspended")) <= 1);
   });
 
-  await t.test("when the entry that gave the ticket is killed under way", async (t) => {
+  await t.test("when the entry that issued the ticket is killed during the query", async (t) => {
     await fleet.ready();
     await fleet.changeLeafs("payout-ledger", { serviceTimeMs: 300 });
     const ticket = await ticketOf(three?.entry);
     const body = { repeatable: false, ticket, sequence: 1, body: { mark: "killed" } };
-    const cutShort = query(three?.entry, body).catch(() => undefined);
+    const interrupted = query(three?.entry, body).catch(() => undefined);
     await until(async () => (await runsOf(fleet, "killed")).length > 0, "the query runs");
     three?.entry.signal("SIGKILL");
-    await cutShort;
+    await interrupted;
     const repeated = await query(one?.entry, body);
     t.match(repeated, { outcome: "unknown", notRun: false });
     await pause(500);
-    t.equal(mostRunsOfAShard(await runsOf(fleet, "killed")), 1);
+    t.equal(maxRunsPerShard(await runsOf(fleet, "killed")), 1);
   });
 });
 
-t.test("answers stay whole and true while daemons and servers fail", async (t) => {
+t.test("answers account for every shard while daemons and servers fail", async (t) => {
   const shape = { ...SAMPLE_SHAPES.bidscope, dataCentres: ["here"] };
   const fleet = await Fleet.start({
     boxes: 3,
@@ -115,75 +115,80 @@
   t.teardown(() => fleet.stop());
   await fleet.addService(shape);
   const url = (box: number) => `${urlOf(fleet.boxes[box]?.entry)}/v1/services/bidscope/query`;
-  async function ask(box: number, mark: string, deadlineMs = 2_000): Promise<QueryAnswer> {
+  async function sendQuery(box: number, mark: string, deadlineMs = 2_000): Promise<QueryAnswer> {
     const { body } = await postJson(url(box), { caller: mark, deadlineMs, body: { mark } });
     return body as QueryAnswer;
   }
   function isExact({ coverage, rows }: QueryAnswer): boolean {
-    const named = [...coverage.included, ...coverage.lacking.map((each) => each.shard)];
+    const accountedShards = [...coverage.included, ...coverage.lacking.map((each) => each.shard)];
     return (
-      new Set(named).size === 40 &&
-      named.length === 40 &&
+      new Set(accountedShards).size === 40 &&
+      accountedShards.length === 40 &&
       rows.length === coverage.included.length * shape.rowsPerShard
     );
   }
 
-  await t.test("a pool is killed and one is frozen under load", async (t) => {
-    // Long enough that no query is refused for the machine's speed.
+  await t.test("a pool is killed and another one is suspended under load", async (t) => {
+    // Long enough that no query is refused on a slow machine.
     const deadlineMs = 20_000;
-    const asked = Array.from({ length: 40 }, (_, index) => ask(index % 2, `k${index}`, deadlineMs));
+    const pending = Array.from({ length: 40 }, (_, index) =>
+      sendQuery(index % 2, `k${index}`, deadlineMs),
+    );
     fleet.boxes[2]?.pool.signal("SIGKILL");
     fleet.boxes[1]?.pool.signal("SIGSTOP");
-    const answers = await Promise.all(asked);
+    const answers = await Promise.all(pending);
     fleet.boxes[1]?.pool.signal("SIGCONT");
     const answered = answers.filter((answer) => !answer.notRun);
     t.ok(answered.every(isExact));
     t.ok(answered.every((answer) => answer.snapshot === "v1" && answer.rows.length > 0));
-    t.ok(answered.length >= 20, `${answered.length} of 40 were answered, the rest not run`);
+    t.ok(answered.length >= 20, `${answered.length} of 40 were answered, the others did not run`);
     for (const [index, { notRun }] of answers.entries()) {
-      t.notOk(notRun && (await runsOf(fleet, `k${index}`)).length > 0, `k${index} is told truly`);
+      t.notOk(
+        notRun && (await runsOf(fleet, `k${index}`)).length > 0,
+        `the outcome of k${index} agrees with its runs`,
+      );
     }
   });
 
-  await t.test("a draining server gets no new work though it reports it is ready", async (t) => {
+  await t.test("a draining server receives no calls though it reports ready", async (t) => {
     await until(
-      async () => (await ask(0, "recovered")).outcome === "complete",
-      "the pool that was frozen serves again",
+      async () => (await sendQuery(0, "recovered")).outcome === "complete",
+      "the suspended pool serves again",
     );
-    const lying = { state: "draining", reportedState: "ready" } as const;
-    await fleet.changeLeafs("bidscope-05", lying);
-    await ask(0, "draining-1");
-    await ask(0, "draining-2");
-    const answer = await ask(0, "draining-3");
+    const contradictory = { state: "draining", reportedState: "ready" } as const;
+    await fleet.changeLeafs("bidscope-05", contradictory);
+    await sendQuery(0, "draining-1");
+    await sendQuery(0, "draining-2");
+    const answer = await sendQuery(0, "draining-3");
     t.ok(isExact(answer));
     const runs = await runsOf(fleet, "draining-3");
     t.notOk(runs.some((run) => run.leafId.startsWith("bidscope-05")));
     t.equal(answer.outcome, "complete");
   });
 
-  await t.test("a server whose box is listed as leaving gets none though it is well", async (t) => {
+  await t.test("a healthy server whose box is listed as leaving receives no calls", async (t) => {
     await fleet.setPlatformFaults({ boxLagMs: 1_500 });
     await fleet.listLeaving("box-bidscope-07");
     let index = 0;
     await until(async () => {
       index += 1;
-      await ask(0, `leaving-${index}`);
+      await sendQuery(0, `leaving-${index}`);
       const runs = await runsOf(fleet, `leaving-${index}`);
       return !runs.some((run) => run.leafId.startsWith("bidscope-07"));
-    }, "the leaving server gets no work");
-    t.equal((await ask(1, "leaving-last")).outcome, "complete");
+    }, "the leaving server receives no calls");
+    t.equal((await sendQuery(1, "leaving-last")).outcome, "complete");
   });
 
-  await t.test("bad input gets one sentence and the entry lives", async (t) => {
+  await t.test("invalid input gets an error and the entry keeps running", async (t) => {
     const faults: ReadonlyArray<readonly [object, string]> = [
       [{ caller: "a", deadlineMs: "soon" }, "deadlineMs"],
       [{ caller: "a", deadlineMs: 100, repeatable: false }, "ticket"],
       [{ caller: "", deadlineMs: 100 }, "caller"],
     ];
     for (const [body, field] of faults) {
-      const { statusCode, body: told } = (await postJson(url(0), body)) as JsonAnswer;
+      const { statusCode, body: response } = (await postJson(url(0), body)) as JsonAnswer;
       t.equal(statusCode, 400);
-      t.match(told, { error: { field, message: /^Cannot accept field/ } });
+      t.match(response, { error: { field, message: /^Cannot accept field/ } });
     }
     const large = await postJson(url(0), { caller: "a", body: "x".repeat(1_100_000) }).catch(
       () => ({ statusCode: 413 }),
--- a/e2e/operations_test.ts
+++ b/e2e/operations_test.ts
@@ -15,13 +15,13 @@
 
 const SHAPE = { ...SAMPLE_SHAPES["settle-desk"], dataCentres: ["here"] };
 
-interface Ended {
+interface CommandResult {
   readonly code: number;
   readonly output: string;
   readonly errors: string;
 }
 
-function run(program: string, args: ReadonlyArray<string>): Promise<Ended> {
+function run(program: string, args: ReadonlyArray<string>): Promise<CommandResult> {
   const path = new URL(`../bin/${program}.js`, import.meta.url).pathname;
   return new Promise((resolve) => {
     execFile(process.execPath, [path, ...args], (error, output, errors) => {
@@ -34,7 +34,7 @@
   return Fleet.start({ boxes, dataCentres: ["here"], seed: 3, adviceKeepMs, logLevel: "warn" });
 }
 
-t.test("each binary answers --help and refuses what it cannot use with exit 2", async (t) => {
+t.test("each binary supports --help and rejects invalid flags with exit code 2", async (t) => {
   for (const program of ["rackvale_entry", "rackvale_pool", "rackvale"]) {
     const help = await run(program, ["--help"]);
     t.equal(help.code, 0);
@@ -49,7 +49,7 @@
   t.ok(lines.some((line) => line.includes('Cannot accept --peer-port "many"')));
 });
 
-t.test("operators work by the command line alone", async (t) => {
+t.test("operators manage services through the command line", async (t) => {
   const fleet = await startFleet(2);
   t.teardown(() => fleet.stop());
   const entry = ["--entry", urlOf(fleet.boxes[0]?.entry)];
@@ -72,40 +72,40 @@
     t.equal(submitted.code, 0, submitted.errors);
     t.match(submitted.output, /in force on 4 daemons/);
     t.equal((await run("rackvale", ["shardmap", "submit", files.map, "--wait", ...entry])).code, 0);
-    const asked = await run("rackvale", ["query", "settle-desk", "--json", ...entry]);
-    t.match(JSON.parse(asked.output), { outcome: "complete", snapshot: "v1", revision: 1 });
+    const query = await run("rackvale", ["query", "settle-desk", "--json", ...entry]);
+    t.match(JSON.parse(query.output), { outcome: "complete", snapshot: "v1", revision: 1 });
     const once = await run("rackvale", ["query", "settle-desk", "--once", ...entry]);
     t.match(once.output, /^complete/);
   });
 
-  await t.test("a lost race names the winner", async (t) => {
-    const race = ["service", "submit", files.config, "--base", "1", ...entry];
-    const ends = await Promise.all([
-      run("rackvale", [...race, "--author", "ann"]),
-      run("rackvale", [...race, "--author", "ben"]),
+  await t.test("a conflicting submission names the one that succeeded", async (t) => {
+    const submission = ["service", "submit", files.config, "--base", "1", ...entry];
+    const results = await Promise.all([
+      run("rackvale", [...submission, "--author", "ann"]),
+      run("rackvale", [...submission, "--author", "ben"]),
     ]);
-    t.same(ends.map((end) => end.code).sort(), [0, 3]);
-    t.match(ends.find((end) => end.code === 3)?.output, /(ann|ben) won with revision 2/);
+    t.same(results.map((result) => result.code).sort(), [0, 3]);
+    t.match(results.find((result) => result.code === 3)?.output, /(ann|ben) won with revision 2/);
   });
 
   await t.test(
-    "a lost reply is settled, and an outage is told as unclear or not run",
+    "a submission succeeds without a reply of the platform, and an outage is reported as not run",
     async (t) => {
       await fleet.setPlatformFaults({ loseReplies: 1 });
-      const lost = await run("rackvale", ["service", "submit", files.config, ...entry]);
-      t.equal(lost.code, 0, lost.output);
-      t.match(lost.output, /revision 3/);
+      const unanswered = await run("rackvale", ["service", "submit", files.config, ...entry]);
+      t.equal(unanswered.code, 0, unanswered.output);
+      t.match(unanswered.output, /revision 3/);
       await fleet.setPlatformFaults({ mode: "down" });
       const down = await run("rackvale", ["service", "submit", files.config, ...entry]);
       t.equal(down.code, 1);
       t.match(down.output, /nothing took effect/);
-      const asked = await run("rackvale", ["query", "settle-desk", ...entry]);
-      t.match(asked.output, /^complete/, "queries go on");
+      const query = await run("rackvale", ["query", "settle-desk", ...entry]);
+      t.match(query.output, /^complete/, "queries are still answered");
       await fleet.setPlatformFaults({ mode: "up" });
     },
   );
 
-  await t.test("bad files and policies are refused with the place of the fault", async (t) => {
+  await t.test("errors in files and policies are reported with their position", async (t) => {
     const policies = { policies: { retry: "1 +\n* 2" } };
     writeFileSync(files.map, JSON.stringify(policies));
     const checked = await run("rackvale", ["policy", "check", files.map, ...entry]);
@@ -118,7 +118,7 @@
     t.equal((await run("rackvale", ["service", "get", "nothing", ...entry])).code, 1);
   });
 
-  await t.test("history, diff, list, entries and status tell what is in force", async (t) => {
+  await t.test("history, diff, list, entries and status show what is in force", async (t) => {
     const history = await run("rackvale", ["service", "history", "settle-desk", ...entry]);
     t.equal(history.output.trim().split("\n").length, 3);
     writeFileSync(files.config, JSON.stringify({ ...config, policies: { retry: "2" } }));
--- a/e2e/restarts_test.ts
+++ b/e2e/restarts_test.ts
@@ -18,7 +18,7 @@
   return Fleet.start({ boxes, dataCentres: ["here"], seed: 3, adviceKeepMs, logLevel: "warn" });
 }
 
-t.test("a planned stop of every box in turn cuts no query", async (t) => {
+t.test("a rolling restart of all boxes fails no query", async (t) => {
   const fleet = await startFleet(3);
   t.teardown(() => fleet.stop());
   await fleet.addService(SHAPE);
@@ -26,18 +26,18 @@
   let readAtMs = performance.now();
   let keepForMs = 500;
 
-  /** A caller that follows the API page: keeps advice as long as told, then asks anew. */
-  async function advised(): Promise<ReadonlyArray<string>> {
+  /** Returns the entries to call: caches the address list for its lifetime, then requests it again. */
+  async function resolveEntries(): Promise<ReadonlyArray<string>> {
     if (performance.now() - readAtMs < keepForMs) {
       return urls;
     }
     for (const url of urls) {
-      const advice = (await getJson(`${url}/v1/entries`).catch(() => undefined)) as
+      const list = (await getJson(`${url}/v1/entries`).catch(() => undefined)) as
         | { entries: ReadonlyArray<{ address: string; port: number }>; keepForMs: number }
         | undefined;
-      if (advice !== undefined) {
-        urls = advice.entries.map(({ address, port }) => `http://${address}:${port}`);
-        ({ keepForMs } = advice);
+      if (list !== undefined) {
+        urls = list.entries.map(({ address, port }) => `http://${address}:${port}`);
+        ({ keepForMs } = list);
         readAtMs = performance.now();
         return urls;
       }
@@ -45,23 +45,23 @@
     throw new Error("Cannot find an entry");
   }
 
-  const faults: Array<string> = [];
-  let asked = 0;
-  let isOver = false;
+  const failures: Array<string> = [];
+  let queryCount = 0;
+  let isDone = false;
   async function caller(name: string): Promise<void> {
-    while (!isOver) {
-      asked += 1;
-      const now = await advised();
-      const url = now[asked % now.length];
-      const body = { caller: name, deadlineMs: 5_000, body: { mark: `${name}-${asked}` } };
+    while (!isDone) {
+      queryCount += 1;
+      const entryUrls = await resolveEntries();
+      const url = entryUrls[queryCount % entryUrls.length];
+      const body = { caller: name, deadlineMs: 5_000, body: { mark: `${name}-${queryCount}` } };
       try {
         const answer = await postJson(`${url}/v1/services/settle-desk/query`, body);
         const { outcome, message } = answer.body as QueryAnswer;
         if (outcome !== "complete") {
-          faults.push(`${outcome} ${message} ${JSON.stringify(answer.body).slice(0, 300)}`);
+          failures.push(`${outcome} ${message} ${JSON.stringify(answer.body).slice(0, 300)}`);
         }
       } catch (error) {
-        faults.push(String(error));
+        failures.push(String(error));
       }
       await pause(10);
     }
@@ -71,17 +71,17 @@
     entry.signal("SIGTERM");
     pool.signal("SIGTERM");
     entry.signal("SIGTERM");
-    t.same(await Promise.all([entry.ended, pool.ended]), [0, 0], `${box} ended by itself`);
+    t.same(await Promise.all([entry.ended, pool.ended]), [0, 0], `${box} exits with status 0`);
     await fleet.addBox(box, "here");
     await fleet.ready();
   }
-  isOver = true;
+  isDone = true;
   await Promise.all(callers);
-  t.same(faults, []);
-  t.ok(asked > 50, `${asked} queries`);
+  t.same(failures, []);
+  t.ok(queryCount > 50, `${queryCount} queries`);
 });
 
-t.test("a box that starts in an outage takes its configuration from its peers", async (t) => {
+t.test("a box that starts in an outage gets its configuration from peers", async (t) => {
   const fleet = await startFleet(2);
   t.teardown(() => fleet.stop());
   const { config } = await fleet.addService(SHAPE);
@@ -95,7 +95,7 @@
     return (answer.body as QueryAnswer).outcome === "complete";
   }, "the new box answers");
 
-  await t.test("and keeps it when the platform comes back with an older version", async (t) => {
+  await t.test("and keeps it when the platform returns with an older version", async (t) => {
     await fleet.setPlatformFaults({ mode: "up" });
     const url = `${urlOf(fleet.boxes[0]?.entry)}/v1/services/settle-desk`;
     t.equal((await putJson(url, { ...config, policies: { retry: "2" } })).statusCode, 200);
