--- a/cluster_state/_shared_state_fields.ts
+++ b/cluster_state/_shared_state_fields.ts
@@ -1,8 +1,8 @@
 /**
- * What a box that is ahead must hand over, value by value. A peer of another version, or one whose memory is spoilt, could
- * else hand over a leaf without an address or a route without a host, and each box that takes it over would end by it.
+ * Validation of the state that a box sends to a peer. A leaf without an address or a route without a host would
+ * otherwise crash each box that merges it.
  *
- * Checked by hand, as datagrams are: a start takes over thousands of leafs at once.
+ * The checks are written by hand, as a box merges thousands of leafs when it starts.
  *
  * @module
  */
@@ -10,39 +10,40 @@
 import type { Leaf } from "../leafs/mod.js";
 import type { Configuration, Route, RouteTarget, ServiceTerms } from "../routing/mod.js";
 
-/** What a peer that is behind takes over. */
+/** State that a box sends to a peer whose own is older. */
 export interface SharedState {
-  /** Missing where the peer has it already. */
+  /** Omitted unless it is newer than the peer's. */
   readonly configuration?: Configuration;
   readonly leafs: ReadonlyArray<Leaf>;
-  /** Ids of leafs that are gone; missing where `leafs` holds all there are. */
+  /** Ids of removed leafs; omitted if `leafs` is the complete list. */
   readonly removed?: ReadonlyArray<string>;
-  /** Leafs whose entry is gone but may come back, and the time they have left, in milliseconds. */
+  /** Leafs whose entry has expired but may reappear. */
   readonly lapsed: ReadonlyArray<ExpiredLeaf>;
   readonly leafsRevision: number;
 }
 
-/** A leaf whose entry is gone but may come back. */
+/** A leaf whose entry has expired but may reappear. */
 export interface ExpiredLeaf {
   readonly leafId: string;
+  /** Time until the leaf is dropped, in milliseconds. */
   readonly leftMs: number;
 }
 
 type Check = (value: unknown) => boolean;
 
-/** A check for each field; one that is left out does not compile. */
+/** A check for each field of a type. */
 type Checks<T> = { readonly [Field in keyof Required<T>]: Check };
 
-const MOST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-const isText: Check = (value) => typeof value === "string";
+const isString: Check = (value) => typeof value === "string";
 const isNumber: Check = (value) => Number.isFinite(value);
-const isFlag: Check = (value) => typeof value === "boolean";
+const isBoolean: Check = (value) => typeof value === "boolean";
 const isAddress: Check = (value) => typeof value === "string" && isIPv4(value);
 const isPort: Check = (value) => {
-  return Number.isInteger(value) && Number(value) > 0 && Number(value) <= MOST_PORT;
+  return Number.isInteger(value) && Number(value) > 0 && Number(value) <= MAX_PORT;
 };
-const isSlots: Check = (value) => Number.isInteger(value) && Number(value) > 0;
+const isSlotCount: Check = (value) => Number.isInteger(value) && Number(value) > 0;
 
 function listOf(check: Check): Check {
   return (value) => Array.isArray(value) && value.every(check);
@@ -64,30 +65,30 @@
   };
 }
 
-const LEAF: Checks<Leaf> = {
-  leafId: isText,
+const LEAF_CHECKS: Checks<Leaf> = {
+  leafId: isString,
   bornAtEpochMs: isNumber,
   entryRevision: isNumber,
   sequence: isNumber,
-  service: isText,
+  service: isString,
   address: isAddress,
   port: isPort,
-  dataCentre: isText,
-  slots: isSlots,
-  draining: isFlag,
+  dataCentre: isString,
+  slots: isSlotCount,
+  draining: isBoolean,
   warmingForMs: isNumber,
 };
 
-const LAPSED: Checks<ExpiredLeaf> = { leafId: isText, leftMs: isNumber };
+const EXPIRED_LEAF_CHECKS: Checks<ExpiredLeaf> = { leafId: isString, leftMs: isNumber };
 
-const TARGETS: { readonly [Kind in RouteTarget["kind"]]: Check } = {
+const TARGET_CHECKS: { readonly [Kind in RouteTarget["kind"]]: Check } = {
   single: recordOf<Extract<RouteTarget, { readonly kind: "single" }>>({
-    kind: isText,
-    services: listOf(recordOf({ service: isText, weight: isNumber })),
+    kind: isString,
+    services: listOf(recordOf({ service: isString, weight: isNumber })),
   }),
   gather: recordOf<Extract<RouteTarget, { readonly kind: "gather" }>>({
-    kind: isText,
-    shards: listOf(isText),
+    kind: isString,
+    shards: listOf(isString),
     topRecords: isNumber,
     leastShare: isNumber,
   }),
@@ -95,34 +96,34 @@
 
 const isTarget: Check = (value) => {
   const kind = (value as Partial<RouteTarget> | null | undefined)?.kind;
-  return kind !== undefined && Object.hasOwn(TARGETS, kind) && TARGETS[kind](value);
+  return kind !== undefined && Object.hasOwn(TARGET_CHECKS, kind) && TARGET_CHECKS[kind](value);
 };
 
-const ROUTE: Checks<Route> = {
-  name: isText,
-  host: isText,
-  prefix: isText,
-  repeatable: isFlag,
+const ROUTE_CHECKS: Checks<Route> = {
+  name: isString,
+  host: isString,
+  prefix: isString,
+  repeatable: isBoolean,
   timeoutMs: isNumber,
   aimMs: isNumber,
   priorityRank: isNumber,
   maxAttempts: isNumber,
-  homes: listOf(isText),
+  homes: listOf(isString),
   target: isTarget,
 };
 
-const SERVICE: Checks<ServiceTerms> = {
-  service: isText,
+const SERVICE_CHECKS: Checks<ServiceTerms> = {
+  service: isString,
   maxConnections: isNumber,
-  healthPath: isText,
+  healthPath: isString,
   warmupMs: isNumber,
   warmupPerS: isNumber,
 };
 
-const CONFIGURATION: Checks<Configuration> = {
+const CONFIGURATION_CHECKS: Checks<Configuration> = {
   version: isNumber,
-  routes: listOf(recordOf(ROUTE)),
-  services: listOf(recordOf(SERVICE)),
+  routes: listOf(recordOf(ROUTE_CHECKS)),
+  services: listOf(recordOf(SERVICE_CHECKS)),
   callerLimits: recordOf<Configuration["callerLimits"]>({
     maxHeaderBytes: isNumber,
     maxBodyBytes: isNumber,
@@ -131,20 +132,20 @@
   }),
 };
 
-const isShared = recordOf<SharedState>({
-  configuration: optional(recordOf(CONFIGURATION)),
-  leafs: listOf(recordOf(LEAF)),
-  removed: optional(listOf(isText)),
-  lapsed: listOf(recordOf(LAPSED)),
+const matchesSharedState = recordOf<SharedState>({
+  configuration: optional(recordOf(CONFIGURATION_CHECKS)),
+  leafs: listOf(recordOf(LEAF_CHECKS)),
+  removed: optional(listOf(isString)),
+  lapsed: listOf(recordOf(EXPIRED_LEAF_CHECKS)),
   leafsRevision: isNumber,
 });
 
 /**
- * Tells whether data is what a box that is ahead hands over.
+ * Reports whether data is valid shared state.
  *
- * @param data - What was read.
- * @returns Whether each value is what it should be; values beyond those known are passed over.
+ * @param data - Parsed data.
+ * @returns Whether each value is valid; unknown fields are ignored.
  */
 export function isSharedState(data: unknown): data is SharedState {
-  return isShared(data);
+  return matchesSharedState(data);
 }
--- a/cluster_state/cluster_state.ts
+++ b/cluster_state/cluster_state.ts
@@ -1,5 +1,6 @@
 /**
- * What a box believes: the configuration in force and the leafs, from the store or from peers.
+ * State of the cluster as a box knows it, from the store or from peers: the active configuration, the leafs and the
+ * evacuations.
  *
  * @module
  */
@@ -25,45 +26,45 @@
 import { StoreWatch } from "./store_watch.js";
 
 /**
- * Services up to which a box lists the leafs at once when it starts. Where there are more, the list
- * is worth waiting a moment for a peer that has it.
+ * Number of services up to which a box lists the leafs from the store immediately when it starts. With more, it first
+ * waits for a peer to send them.
  */
-const FEW_SERVICES = 100;
+const MAX_SERVICES_FOR_IMMEDIATE_LIST = 100;
 
-/** Time after the start in which a box learns whether it is to watch the store, in milliseconds. */
-const LEARN_PEERS_MS = 1_000;
+/** Time after the start in which a box discovers its peers and whether it should watch the store, in milliseconds. */
+const PEER_DISCOVERY_MS = 1_000;
 
-/** Time after the start for which a box that is not to watch waits for a peer's leafs, in milliseconds. */
-const WAIT_FOR_PEER_MS = 2_500;
+/** Time after the start for which a box that does not watch the store waits for the leafs of a peer, in milliseconds. */
+const PEER_WAIT_MS = 2_500;
 
-/** The configuration in force, and how it came. */
+/** The active configuration and its origin. */
 export interface ActiveConfiguration {
   readonly version: number;
   readonly source: "store" | "peer";
-  /** When it came into force, on this box's clock. */
+  /** Time of its activation, on this box's clock. */
   readonly atMs: number;
 }
 
-/** What the knowledge is made from. */
+/** Options of a cluster state. */
 export interface ClusterStateOptions {
   readonly store: StoreClient;
-  /** Longest time that a watch waits for a change, in milliseconds. */
+  /** Maximum time for which a watch waits for a change, in milliseconds. */
   readonly waitMs: number;
   readonly telemetry: BoxTelemetry;
   readonly nowMs: () => number;
-  /** Told after each change of the configuration in force. */
+  /** Called after each change of the active configuration. */
   readonly onConfiguration: (configuration: Configuration) => void;
-  /** Told after each change of the leafs. */
+  /** Called after each change of the leafs. */
   readonly onLeafs: () => void;
-  /** Told when the store has come back from a copy, so that it lacks what boxes wrote last. */
+  /** Called after the store was restored from a backup and may lack recent writes of the boxes. */
   readonly onStoreRestored: () => void;
-  /** Whether operators may have data centres emptied; else the store is not asked for it. */
+  /** Whether operators may evacuate data centres; if not, evacuations are not watched. */
   readonly isEvacuationEnabled: boolean;
-  /** Told after each change of the evacuated data centres, with those that are used again. */
+  /** Called after each change of the evacuated data centres, with those that are used again. */
   readonly onEvacuations: (usedAgain: ReadonlyArray<string>) => void;
 }
 
-/** The configuration and the leafs that a box acts by. */
+/** The configuration, the leafs and the evacuations that a box uses. */
 export class ClusterState {
   readonly #options: ClusterStateOptions;
   readonly #configurationWatch: StoreWatch;
@@ -75,10 +76,10 @@
   #startedAtMs = 0;
   #isWatcher = true;
   #routes: RouteTable | undefined;
-  #adopted: ActiveConfiguration | undefined;
+  #activeConfiguration: ActiveConfiguration | undefined;
 
   /**
-   * @param options - What the knowledge is made from.
+   * @param options - Options of the state.
    */
   constructor(options: ClusterStateOptions) {
     this.#options = options;
@@ -95,15 +96,15 @@
     this.#configurationWatch = new StoreWatch(
       { store, kind: CONFIGURATION_KIND, waitMs, mayBeStale: false },
       health.listener(CONFIGURATION_KIND, {
-        onList: ({ objects }) => this.#readConfiguration(objects),
-        onChanges: ({ changed }) => this.#readConfiguration(changed),
+        onList: ({ objects }) => this.#applyConfiguration(objects),
+        onChanges: ({ changed }) => this.#applyConfiguration(changed),
       }),
     );
     this.#leafWatch = new StoreWatch(
       { store, kind: LEAF_KIND, waitMs, mayBeStale: true },
       health.listener(LEAF_KIND, {
         onList: (list) => {
-          this.#noteEra(list.revision);
+          this.#detectRestore(list.revision);
           this.#leafs.applyList(list);
         },
         onChanges: (changes) => this.#leafs.applyChanges(changes),
@@ -120,7 +121,7 @@
     this.#evacuationWatch.pause();
   }
 
-  /** Begins to watch the store. */
+  /** Starts watching the store. */
   start(): void {
     this.#startedAtMs = this.#options.nowMs();
     void this.#configurationWatch.run();
@@ -128,7 +129,7 @@
     void this.#evacuationWatch.run();
   }
 
-  /** Ends the watches. */
+  /** Stops watching the store. */
   stop(): void {
     this.#configurationWatch.stop();
     this.#leafWatch.stop();
@@ -140,56 +141,56 @@
     return this.#isWatcher;
   }
 
-  /** Whether a configuration and the leafs are known, so that requests can be served. */
+  /** Whether a configuration and the leafs are known. Requests can be served only then. */
   get isComplete(): boolean {
     return this.#routes !== undefined && this.#leafs.revision > 0;
   }
 
   /**
-   * Says whether this box is among those that watch the store; the others hear from them.
+   * Sets whether this box watches the store. Other boxes receive its state from those that do.
    *
-   * @param isWatcher - Whether it is.
+   * @param isWatcher - Whether this box watches the store.
    */
   setWatcher(isWatcher: boolean): void {
     this.#isWatcher = isWatcher;
-    this.#setWanted(this.#configurationWatch, CONFIGURATION_KIND, {
-      isWanted: isWatcher || this.#routes === undefined,
+    this.#setWatching(this.#configurationWatch, CONFIGURATION_KIND, {
+      shouldWatch: isWatcher || this.#routes === undefined,
       revision: 0,
     });
-    this.#setWanted(this.#leafWatch, LEAF_KIND, {
-      isWanted: this.#wantsLeafWatch(),
+    this.#setWatching(this.#leafWatch, LEAF_KIND, {
+      shouldWatch: this.#shouldWatchLeafs(),
       revision: this.#leafs.revision,
     });
-    this.#setWanted(this.#evacuationWatch, EVACUATION_KIND, {
-      isWanted: isWatcher && this.#options.isEvacuationEnabled && this.#hasLearntPeers,
+    this.#setWatching(this.#evacuationWatch, EVACUATION_KIND, {
+      shouldWatch: isWatcher && this.#options.isEvacuationEnabled && this.#hasDiscoveredPeers,
       revision: this.#evacuations.position,
     });
   }
 
-  /** Whether enough time has passed since the start to know who watches the store. */
-  get #hasLearntPeers(): boolean {
-    return this.#options.nowMs() - this.#startedAtMs > LEARN_PEERS_MS;
+  /** Whether enough time has passed since the start to know which boxes watch the store. */
+  get #hasDiscoveredPeers(): boolean {
+    return this.#options.nowMs() - this.#startedAtMs > PEER_DISCOVERY_MS;
   }
 
-  #wantsLeafWatch(): boolean {
+  #shouldWatchLeafs(): boolean {
     if (this.#routes === undefined) {
-      // It says how many leafs there may be, and without it they are of no use.
+      // Leafs cannot be used before a configuration is known.
       return false;
     }
     const services = this.#routes.configuration.services.length;
-    if (this.#leafs.revision === 0 && services > FEW_SERVICES) {
+    if (this.#leafs.revision === 0 && services > MAX_SERVICES_FOR_IMMEDIATE_LIST) {
       const sinceStartMs = this.#options.nowMs() - this.#startedAtMs;
-      return sinceStartMs > (this.#isWatcher ? LEARN_PEERS_MS : WAIT_FOR_PEER_MS);
+      return sinceStartMs > (this.#isWatcher ? PEER_DISCOVERY_MS : PEER_WAIT_MS);
     }
     return this.#isWatcher || this.#leafs.revision === 0;
   }
 
-  #setWanted(
+  #setWatching(
     watch: StoreWatch,
     kind: string,
-    { isWanted, revision }: { readonly isWanted: boolean; readonly revision: number },
+    { shouldWatch, revision }: { readonly shouldWatch: boolean; readonly revision: number },
   ): void {
-    if (isWanted) {
+    if (shouldWatch) {
       watch.resume(revision);
     } else {
       watch.pause();
@@ -197,47 +198,47 @@
     }
   }
 
-  /** Routes in force, or nothing before the first configuration. */
+  /** Active routes; undefined before the first configuration. */
   get routes(): RouteTable | undefined {
     return this.#routes;
   }
 
-  /** Where the configuration in force came from and when, or nothing before the first. */
+  /** The active configuration and its origin; undefined before the first. */
   get activeConfiguration(): ActiveConfiguration | undefined {
-    return this.#adopted;
+    return this.#activeConfiguration;
   }
 
-  /** Leafs believed in. */
+  /** The known leafs. */
   get leafs(): LeafTable {
     return this.#leafs.table;
   }
 
-  /** Data centres that operators have emptied: nothing more is sent to their leafs. */
+  /** Data centres that operators have evacuated; their leafs receive no calls. */
   get evacuated(): ReadonlySet<string> {
     return this.#evacuations.dataCentres;
   }
 
-  /** What other boxes are told of evacuations; nothing while there was none. */
+  /** Evacuations to report to other boxes; undefined if there has been none. */
   get evacuationUpdate(): EvacuationUpdate | undefined {
     return this.#evacuations.update;
   }
 
   /**
-   * Takes in what another box knows of evacuations.
+   * Merges the evacuations that another box reports.
    *
-   * @param news - What it knows.
-   * @returns Whether it was ahead of this one.
+   * @param update - Reported evacuations.
+   * @returns Whether they were newer than those of this box.
    */
-  mergeEvacuations(news: EvacuationUpdate): boolean {
-    return this.#evacuations.merge(news);
+  mergeEvacuations(update: EvacuationUpdate): boolean {
+    return this.#evacuations.merge(update);
   }
 
-  /** Revision of the store up to which the leafs' entries are known. */
+  /** Store revision up to which the leafs' entries are applied. */
   get leafsRevision(): number {
     return this.#leafs.revision;
   }
 
-  /** How far this box is with what lasts in the store. */
+  /** Versions of the stored data that this box has applied. */
   get progress(): SyncProgress {
     return {
       configurationVersion: this.#routes?.configuration.version ?? 0,
@@ -245,69 +246,72 @@
     };
   }
 
-  /** When the store or a peer's news was last heard, on this box's clock; minus infinity before. */
+  /** Time of the last update from the store or a peer, on this box's clock; negative infinity before the first. */
   get lastUpdateAtMs(): number {
     return this.#health.lastUpdateAtMs;
   }
 
-  /** Whether the store can be heard. */
+  /** Whether the store is reachable. */
   get isStoreReachable(): boolean {
     return this.#health.isReachable;
   }
 
-  /** Age of the store's last answer in milliseconds, by kind of object that this box watches. */
+  /** Age of the store's last answer, in milliseconds, by kind of object that this box watches. */
   get storeAnsweredAgoMs(): ReadonlyMap<string, number> {
     return this.#health.answeredAgoMs();
   }
 
-  /** Drops the leafs whose entry did not come back in time. */
+  /** Drops leafs and evacuations whose entries did not reappear in time. */
   dropExpired(): void {
     this.#leafs.dropExpired({ isStoreReachable: this.isStoreReachable });
     this.#evacuations.dropExpired();
   }
 
   /**
-   * Gives what a peer that is behind may take over.
+   * Returns the state that a peer lacks.
    *
-   * @param progress - How far the peer is.
-   * @returns What it lacks.
+   * @param progress - Versions that the peer has.
+   * @returns The state to send to the peer.
    */
   sharedStateSince(progress: SyncProgress): SharedState {
-    const { changeLog: news, revision, table } = this.#leafs;
-    const known = {
+    const { changeLog, revision, table } = this.#leafs;
+    const snapshot = {
       configuration: this.#routes?.configuration,
       leafs: table,
       leafsRevision: revision,
-      news,
+      changeLog,
       nowMs: this.#options.nowMs(),
     };
-    return selectSharedState(known, progress);
+    return selectSharedState(snapshot, progress);
   }
 
   /**
-   * Takes over what a peer knows, where it is ahead.
+   * Merges the state of a peer where it is newer.
    *
-   * @param shared - What the peer handed over.
+   * @param shared - State received from the peer.
    */
   mergeSharedState(shared: SharedState): void {
     this.#health.recordUpdate();
     this.#leafs.mergeSharedState(shared);
     if (shared.configuration !== undefined) {
-      this.#adopt(shared.configuration, "peer");
+      this.#activate(shared.configuration, "peer");
     }
   }
 
-  /** Gives leafs time to write their entries again, and has what boxes had written written again. */
-  #noteEra(position: StorePosition): void {
+  /**
+   * Detects that the store was restored from a backup: leafs get time to write their entries again, and boxes are
+   * notified to write theirs.
+   */
+  #detectRestore(position: StorePosition): void {
     if (this.#leafs.revision > 0 && eraOf(position) > eraOf(this.#leafs.revision)) {
       this.#health.recordRecovery();
       const fields = { era: eraOf(position), before: eraOf(this.#leafs.revision) };
-      this.#options.telemetry.event("warn", "store: came back from a copy", fields);
+      this.#options.telemetry.event("warn", "store: restored from a backup", fields);
       this.#options.onStoreRestored();
     }
   }
 
-  #readConfiguration(objects: ReadonlyArray<StoreObject>): void {
+  #applyConfiguration(objects: ReadonlyArray<StoreObject>): void {
     const object = objects.find(({ name }) => name === CONFIGURATION_NAME);
     if (object === undefined) {
       return;
@@ -318,17 +322,21 @@
       this.#options.telemetry.event("error", "configuration: cannot be read", fields);
       return;
     }
-    this.#adopt(decoded.value, "store");
+    this.#activate(decoded.value, "store");
   }
 
-  /** A configuration once in force is never left for an older one. */
-  #adopt(configuration: Configuration, source: "store" | "peer"): void {
+  /** Activates a configuration if it is newer than the active one. */
+  #activate(configuration: Configuration, source: "store" | "peer"): void {
     const version = this.#routes?.configuration.version ?? Number.NEGATIVE_INFINITY;
     if (configuration.version <= version) {
       return;
     }
     this.#routes = buildRouteTable(configuration);
-    this.#adopted = { version: configuration.version, source, atMs: this.#options.nowMs() };
+    this.#activeConfiguration = {
+      version: configuration.version,
+      source,
+      atMs: this.#options.nowMs(),
+    };
     this.setWatcher(this.#isWatcher);
     const fields = { version: configuration.version, before: version, source };
     this.#options.telemetry.event("info", "configuration: in force", fields);
--- a/cluster_state/evacuations.ts
+++ b/cluster_state/evacuations.ts
@@ -1,6 +1,6 @@
 /**
- * The data centres that operators have emptied, as a box believes: from the store or from other boxes, whichever
- * is ahead. What is known goes on while the store is away.
+ * The data centres that operators have evacuated, from the store or from other boxes, whichever is newer. Evacuations
+ * remain in effect while the store is unreachable.
  *
  * @module
  */
@@ -9,57 +9,56 @@
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
 /**
- * Time for which an evacuation goes on that a store which came back older does not hold, in milliseconds: operators
- * write it again. Far above the two seconds in which leafs do the same; a data centre that is empty for longer than
- * need be loses no request that has a leaf elsewhere.
+ * Time for which an evacuation that a restored store lacks remains in effect, in milliseconds, so that operators can
+ * write it again.
  */
-const REWRITE_MS = 10_000;
+const REWRITE_TIMEOUT_MS = 10_000;
 
-/** What the belief is made from. */
+/** Options of the evacuations. */
 export interface EvacuationsOptions {
   readonly nowMs: () => number;
   readonly telemetry: Pick<BoxTelemetry, "event">;
-  /** Told after each change, with the data centres that are used again. */
+  /** Called after each change, with the data centres that are used again. */
   readonly onChange: (usedAgain: ReadonlyArray<string>) => void;
 }
 
-/** The evacuations that a box believes in. */
+/** The evacuations that a box knows. */
 export class Evacuations {
   readonly #options: EvacuationsOptions;
   #dataCentres: ReadonlySet<string> = new Set();
-  /** Evacuations that the store lacks since it came back older, and when they end. */
+  /** Evacuations that the restored store lacks, with the times at which they end. */
   readonly #endAtMs = new Map<string, number>();
   #position: StorePosition = 0;
-  #hasAnyBeen = false;
+  #hasEverEvacuated = false;
 
   /**
-   * @param options - What the belief is made from.
+   * @param options - Options of the evacuations.
    */
   constructor(options: EvacuationsOptions) {
     this.#options = options;
   }
 
-  /** Data centres to whose leafs nothing more is to be sent. */
+  /** Data centres whose leafs receive no calls. */
   get dataCentres(): ReadonlySet<string> {
     return this.#dataCentres;
   }
 
-  /** Position of the store up to which they are known; 0 before the first list. */
+  /** Store position up to which evacuations are applied; 0 before the first list. */
   get position(): StorePosition {
     return this.#position;
   }
 
-  /** What other boxes are told; nothing while no data centre was ever emptied, which is what they assume. */
+  /** Update for other boxes; undefined if no data centre was ever evacuated, which they assume by default. */
   get update(): EvacuationUpdate | undefined {
-    return this.#hasAnyBeen
+    return this.#hasEverEvacuated
       ? { position: this.#position, dataCentres: [...this.#dataCentres] }
       : undefined;
   }
 
   /**
-   * Takes in a whole list of the store.
+   * Applies a complete list of the store.
    *
-   * @param list - The list.
+   * @param list - List of all evacuations.
    */
   applyList({ objects, revision }: StoreList): void {
     if (revision < this.#position) {
@@ -78,9 +77,9 @@
   }
 
   /**
-   * Takes in changes of the store.
+   * Applies changes of the store.
    *
-   * @param changes - The changes.
+   * @param changes - Started and ended evacuations.
    */
   applyChanges({ changed, removed, revision }: StoreChanges): void {
     if (revision <= this.#position) {
@@ -99,10 +98,10 @@
   }
 
   /**
-   * Takes in what another box knows, where that is ahead.
+   * Merges the evacuations that another box reports if they are newer.
    *
-   * @param news - What it knows.
-   * @returns Whether it was ahead.
+   * @param update - Reported evacuations.
+   * @returns Whether they were newer.
    */
   merge({ dataCentres, position }: EvacuationUpdate): boolean {
     if (position <= this.#position) {
@@ -113,21 +112,21 @@
     return true;
   }
 
-  /** Ends evacuations that a store which came back older did not get again. */
+  /** Ends evacuations that were not written again in time after the store was restored. */
   dropExpired(): void {
     const nowMs = this.#options.nowMs();
-    const due = [...this.#endAtMs].filter(([, atMs]) => atMs <= nowMs).map(([name]) => name);
-    if (due.length > 0) {
-      for (const name of due) {
+    const expired = [...this.#endAtMs].filter(([, atMs]) => atMs <= nowMs).map(([name]) => name);
+    if (expired.length > 0) {
+      for (const name of expired) {
         this.#endAtMs.delete(name);
       }
-      const kept = [...this.#dataCentres].filter((name) => !due.includes(name));
+      const kept = [...this.#dataCentres].filter((name) => !expired.includes(name));
       this.#set(new Set(kept), { position: this.#position, source: "time" });
     }
   }
 
   #keepMissing(listed: ReadonlySet<string>): void {
-    const endAtMs = this.#options.nowMs() + REWRITE_MS;
+    const endAtMs = this.#options.nowMs() + REWRITE_TIMEOUT_MS;
     for (const name of this.#dataCentres) {
       if (!listed.has(name)) {
         this.#endAtMs.set(name, endAtMs);
@@ -142,11 +141,11 @@
     const before = this.#dataCentres;
     this.#position = position;
     this.#dataCentres = dataCentres;
-    this.#hasAnyBeen ||= dataCentres.size > 0;
+    this.#hasEverEvacuated ||= dataCentres.size > 0;
     const usedAgain = [...before].filter((name) => !dataCentres.has(name));
-    const emptied = [...dataCentres].filter((name) => !before.has(name));
-    if (usedAgain.length + emptied.length > 0) {
-      const fields = { emptied, usedAgain, position, source };
+    const added = [...dataCentres].filter((name) => !before.has(name));
+    if (usedAgain.length + added.length > 0) {
+      const fields = { emptied: added, usedAgain, position, source };
       this.#options.telemetry.event("warn", "evacuations: changed", fields);
       this.#options.onChange(usedAgain);
     }
--- a/cluster_state/leaf_change_log.ts
+++ b/cluster_state/leaf_change_log.ts
@@ -1,85 +1,91 @@
 /**
- * Remembers at which revision of the store each leaf's entry last changed or went, so that a box that
- * is behind is handed only what it lacks.
+ * Log of the store revisions at which leafs' entries changed or were removed, from which a box sends a peer only the
+ * changes that it lacks.
  *
  * @module
  */
 
-/** Removals that are remembered; who is further behind is handed all leafs. */
-const MOST_REMOVALS = 500;
+/** Maximum number of removals in the log; a peer that is further behind receives all leafs. */
+const MAX_REMOVALS = 500;
 
-/** What has changed among the leafs' entries since a revision. */
+/** Ids of the leafs whose entries changed or were removed after a revision. */
 export interface LeafChangesSince {
   readonly changed: ReadonlyArray<string>;
   readonly removed: ReadonlyArray<string>;
 }
 
-/** Changes up to a revision. */
+/** Ids of the leafs whose entries changed or were removed, up to a revision. */
 export interface LeafChangeBatch {
   readonly changed: Iterable<string>;
   readonly removed: Iterable<string>;
   readonly revision: number;
 }
 
-/** The news of a box about leafs. */
+/** Log of changes to leafs' entries. */
 export class LeafChangeLog {
-  readonly #changedAt = new Map<string, number>();
-  readonly #removedAt = new Map<string, number>();
-  #completeSince = Number.POSITIVE_INFINITY;
+  readonly #changeRevisions = new Map<string, number>();
+  readonly #removalRevisions = new Map<string, number>();
+  /** Revision from which the log is complete. */
+  #firstRevision = Number.POSITIVE_INFINITY;
 
   /**
-   * Begins anew from a whole list: what came before its revision is not known.
+   * Clears the log and restarts it at a complete list.
    *
    * @param revision - Revision of the list.
    */
   reset(revision: number): void {
-    this.#changedAt.clear();
-    this.#removedAt.clear();
-    this.#completeSince = revision;
+    this.#changeRevisions.clear();
+    this.#removalRevisions.clear();
+    this.#firstRevision = revision;
   }
 
   /**
-   * Notes changes.
+   * Records changes.
    *
-   * @param item - Ids of the leafs whose entries changed or went, and the revision reached.
+   * @param batch - Changes and the revision that they lead to.
    */
   record({ changed, removed, revision }: LeafChangeBatch): void {
     for (const leafId of changed) {
-      this.#changedAt.set(leafId, revision);
-      this.#removedAt.delete(leafId);
+      this.#changeRevisions.set(leafId, revision);
+      this.#removalRevisions.delete(leafId);
     }
     for (const leafId of removed) {
-      this.#changedAt.delete(leafId);
-      // Anew, so that the map is in the order of the revisions.
-      this.#removedAt.delete(leafId);
-      this.#removedAt.set(leafId, revision);
+      this.#changeRevisions.delete(leafId);
+      // Deletes the key first to keep the map in the order of the revisions.
+      this.#removalRevisions.delete(leafId);
+      this.#removalRevisions.set(leafId, revision);
     }
-    this.#forgetOld();
+    this.#trim();
   }
 
   /**
-   * Tells what has changed since a revision.
+   * Returns the changes after a revision.
    *
-   * @param revision - Revision that is known.
-   * @returns The changes, or nothing where they are not all remembered.
+   * @param revision - Last known revision.
+   * @returns The changes, or undefined if the log does not reach back to the revision.
    */
   since(revision: number): LeafChangesSince | undefined {
-    return revision < this.#completeSince
+    return revision < this.#firstRevision
       ? undefined
-      : { changed: after(this.#changedAt, revision), removed: after(this.#removedAt, revision) };
+      : {
+          changed: idsAfter(this.#changeRevisions, revision),
+          removed: idsAfter(this.#removalRevisions, revision),
+        };
   }
 
-  #forgetOld(): void {
-    for (const [leafId, revision] of this.#removedAt) {
-      if (this.#removedAt.size <= MOST_REMOVALS) {
+  #trim(): void {
+    for (const [leafId, revision] of this.#removalRevisions) {
+      if (this.#removalRevisions.size <= MAX_REMOVALS) {
         return;
       }
-      this.#removedAt.delete(leafId);
-      this.#completeSince = Math.max(this.#completeSince, revision);
+      this.#removalRevisions.delete(leafId);
+      this.#firstRevision = Math.max(this.#firstRevision, revision);
     }
   }
 }
 
-function after(revisions: ReadonlyMap<string, number>, revision: number): ReadonlyArray<string> {
-  return [...revisions].filter(([, atRevision]) => atRevision > revision).map(([leafId]) => leafId);
+function idsAfter(revisions: ReadonlyMap<string, number>, revision: number): ReadonlyArray<string> {
+  return [...revisions]
+    .filter(([, entryRevision]) => entryRevision > revision)
+    .map(([leafId]) => leafId);
 }
--- a/cluster_state/leaf_change_log_test.ts
+++ b/cluster_state/leaf_change_log_test.ts
@@ -1,31 +1,31 @@
 import t from "tap";
 import { LeafChangeLog } from "./leaf_change_log.js";
 
-t.test("since() tells what has changed and what has gone after a revision", async (t) => {
-  const news = new LeafChangeLog();
-  news.reset(10);
-  news.record({ changed: ["a", "b"], removed: [], revision: 11 });
-  news.record({ changed: ["c"], removed: ["a"], revision: 12 });
-  t.same(news.since(10), { changed: ["b", "c"], removed: ["a"] });
-  t.same(news.since(11), { changed: ["c"], removed: ["a"] });
-  t.same(news.since(12), { changed: [], removed: [] });
-  news.record({ changed: ["a"], removed: [], revision: 13 });
-  t.same(news.since(11), { changed: ["c", "a"], removed: [] });
+t.test("since() returns the changes and removals after a revision", async (t) => {
+  const changeLog = new LeafChangeLog();
+  changeLog.reset(10);
+  changeLog.record({ changed: ["a", "b"], removed: [], revision: 11 });
+  changeLog.record({ changed: ["c"], removed: ["a"], revision: 12 });
+  t.same(changeLog.since(10), { changed: ["b", "c"], removed: ["a"] });
+  t.same(changeLog.since(11), { changed: ["c"], removed: ["a"] });
+  t.same(changeLog.since(12), { changed: [], removed: [] });
+  changeLog.record({ changed: ["a"], removed: [], revision: 13 });
+  t.same(changeLog.since(11), { changed: ["c", "a"], removed: [] });
 });
 
-t.test("since() is nothing before the first list and for what came before it", async (t) => {
-  const news = new LeafChangeLog();
-  t.equal(news.since(0), undefined);
-  news.reset(10);
-  t.equal(news.since(9), undefined);
+t.test("since() returns undefined before the first list and for earlier revisions", async (t) => {
+  const changeLog = new LeafChangeLog();
+  t.equal(changeLog.since(0), undefined);
+  changeLog.reset(10);
+  t.equal(changeLog.since(9), undefined);
 });
 
-t.test("removals are forgotten at last, and who is behind them is handed all", async (t) => {
-  const news = new LeafChangeLog();
-  news.reset(0);
+t.test("since() returns undefined for revisions whose removals were discarded", async (t) => {
+  const changeLog = new LeafChangeLog();
+  changeLog.reset(0);
   for (let revision = 1; revision <= 600; revision++) {
-    news.record({ changed: [], removed: [`i-${revision}`], revision });
+    changeLog.record({ changed: [], removed: [`i-${revision}`], revision });
   }
-  t.equal(news.since(99), undefined);
-  t.equal(news.since(100)?.removed.length, 500);
+  t.equal(changeLog.since(99), undefined);
+  t.equal(changeLog.since(100)?.removed.length, 500);
 });
--- a/cluster_state/leaf_registry.ts
+++ b/cluster_state/leaf_registry.ts
@@ -1,5 +1,5 @@
 /**
- * The leafs that a box believes in, from the store or from peers, whichever is ahead.
+ * The leafs that a box knows, from the store or from peers, whichever has the later revision.
  *
  * @module
  */
@@ -23,66 +23,66 @@
 import { LeafChangeLog } from "./leaf_change_log.js";
 import { applySharedState, type SharedState } from "./shared_state.js";
 
-/** Leafs that a log line names at most. */
-const MOST_NAMED = 20;
+/** Maximum number of leafs in a log line. */
+const MAX_LOGGED_LEAFS = 20;
 
-/** Signs of a strange entry's name that a log line holds at most; leafs' ids have some ten. */
-const MOST_NAME_CHARS = 40;
+/** Maximum length of the name of an unreadable entry in a log line, in characters. */
+const MAX_LOGGED_NAME_CHARS = 40;
 
-/** What the registry is made from. */
+/** Options of a leaf registry. */
 export interface LeafRegistryOptions {
   readonly telemetry: Pick<BoxTelemetry, "event">;
   readonly nowMs: () => number;
-  /** Tells how long an entry that is gone may come back, in milliseconds; 0 for not at all. */
+  /** Returns the time in which a missing entry may reappear, in milliseconds; 0 if it may not. */
   readonly graceMs: () => number;
-  /** Told after each change. */
+  /** Called after each change. */
   readonly onChange: () => void;
 }
 
-/** Leafs with the revision of the store up to which they are known. */
+/** Leafs with the store revision up to which they are known. */
 export class LeafRegistry {
   readonly #options: LeafRegistryOptions;
   readonly changeLog = new LeafChangeLog();
   #table: LeafTable = EMPTY_LEAF_TABLE;
   #revision = 0;
-  /** Leafs whose entry is missing by a peer's word, as of the last one that told. */
-  #toldLapsed: ReadonlySet<string> = new Set();
+  /** Leafs whose entry has expired, as last reported by a peer. */
+  #reportedExpired: ReadonlySet<string> = new Set();
 
   /**
-   * @param options - What the registry is made from.
+   * @param options - Options of the registry.
    */
   constructor(options: LeafRegistryOptions) {
     this.#options = options;
   }
 
-  /** Leafs believed in. */
+  /** The known leafs. */
   get table(): LeafTable {
     return this.#table;
   }
 
-  /** Revision of the store up to which the leafs' entries are known; 0 before the first list. */
+  /** Store revision up to which the leafs' entries are applied; 0 before the first list. */
   get revision(): number {
     return this.#revision;
   }
 
   /**
-   * Takes in a whole list of the store. One that is older than what peers have told is passed over.
+   * Applies a complete list of the store. A list older than the current revision is ignored.
    *
-   * @param list - The list.
+   * @param list - List of all entries.
    */
   applyList({ objects, revision }: StoreList): void {
     if (revision >= this.#revision) {
       const { leafs, unreadable } = this.#decode(objects, eraOf(revision));
       this.changeLog.reset(revision);
-      const options = { ...this.#removal(), unreadable };
+      const options = { ...this.#removalOptions(), unreadable };
       this.#set(applyLeafList(this.#table, leafs, options), revision);
     }
   }
 
   /**
-   * Takes in changes of the store. Those that peers have told already are passed over.
+   * Applies changes of the store. Changes up to the current revision are ignored.
    *
-   * @param changes - The changes.
+   * @param changes - Changed and removed entries.
    */
   applyChanges({ changed, removed, revision }: StoreChanges): void {
     if (revision > this.#revision) {
@@ -93,14 +93,14 @@
         revision,
       });
       const changes = { changed: leafs, removed, unreadable };
-      this.#set(applyLeafChanges(this.#table, changes, this.#removal()), revision);
+      this.#set(applyLeafChanges(this.#table, changes, this.#removalOptions()), revision);
     }
   }
 
   /**
-   * Takes over what a peer knows, where it is ahead.
+   * Merges the state of a peer if its revision is later.
    *
-   * @param shared - What the peer handed over.
+   * @param shared - State received from the peer.
    */
   mergeSharedState(shared: SharedState): void {
     const { lapsed, leafs, removed, leafsRevision } = shared;
@@ -113,26 +113,26 @@
       const changed = leafs.map(({ leafId }) => leafId);
       this.changeLog.record({ changed, removed, revision: leafsRevision });
     }
-    this.#toldLapsed = new Set(lapsed.map(({ leafId }) => leafId));
+    this.#reportedExpired = new Set(lapsed.map(({ leafId }) => leafId));
     this.#set(applySharedState(this.#table, shared, this.#options.nowMs()), leafsRevision);
   }
 
   /**
-   * Drops the leafs whose entry did not come back in time. While the store is away nothing can come back,
-   * so that only those are dropped whose time a peer has told: it has heard the store, and what it drops
-   * itself it does not tell again. Kept, such a leaf got work 3.3 s after its entry had gone.
+   * Drops the leafs whose entry did not reappear in time. While the store is unreachable, no entry can reappear for this
+   * box, and only leafs that a peer reported as expired are dropped: that peer does not report the removal again.
    *
-   * @param options - Whether this box hears the store.
+   * @param options - Whether this box can reach the store.
    */
   dropExpired({ isStoreReachable }: { readonly isStoreReachable: boolean }): void {
-    const mayDrop = (leafId: string): boolean => isStoreReachable || this.#toldLapsed.has(leafId);
+    const mayDrop = (leafId: string): boolean =>
+      isStoreReachable || this.#reportedExpired.has(leafId);
     const kept = dropExpiredLeafs(this.#table, { nowMs: this.#options.nowMs(), mayDrop });
     if (kept !== this.#table) {
       this.#set(kept, this.#revision);
     }
   }
 
-  #removal(): { readonly nowMs: number; readonly graceMs: number } {
+  #removalOptions(): { readonly nowMs: number; readonly graceMs: number } {
     return { nowMs: this.#options.nowMs(), graceMs: this.#options.graceMs() };
   }
 
@@ -150,7 +150,9 @@
     if (unreadable.length > 0) {
       this.#options.telemetry.event("warn", "leafs: entries that cannot be read are passed over", {
         count: unreadable.length,
-        leafIds: unreadable.slice(0, MOST_NAMED).map((name) => name.slice(0, MOST_NAME_CHARS)),
+        leafIds: unreadable
+          .slice(0, MAX_LOGGED_LEAFS)
+          .map((name) => name.slice(0, MAX_LOGGED_NAME_CHARS)),
       });
     }
     return { leafs, unreadable };
@@ -160,40 +162,40 @@
     const before = this.#table;
     this.#table = table;
     this.#revision = revision;
-    this.#tellRestarts(before);
+    this.#logRestarts(before);
     this.#options.telemetry.event("info", "leafs: changed", {
       revision,
       count: table.byId.size,
-      added: missingIn(before, table.byId.keys()),
-      gone: missingIn(table, before.byId.keys()),
+      added: idsMissingIn(before, table.byId.keys()),
+      gone: idsMissingIn(table, before.byId.keys()),
       draining: [...table.byId.values()]
         .filter(({ draining }) => draining)
         .map(({ leafId }) => leafId)
-        .slice(0, MOST_NAMED),
+        .slice(0, MAX_LOGGED_LEAFS),
     });
     this.#options.onChange();
   }
 
-  #tellRestarts(before: LeafTable): void {
+  #logRestarts(before: LeafTable): void {
     const restarted = [...this.#table.byId.values()].filter((leaf) => {
       const former = before.byId.get(leaf.leafId);
       return former !== undefined && !isSameIncarnation(former, leaf);
     });
     if (restarted.length > 0) {
-      this.#options.telemetry.event("info", "leafs: started again under their id", {
+      this.#options.telemetry.event("info", "leafs: restarted under the same id", {
         count: restarted.length,
-        leafIds: restarted.slice(0, MOST_NAMED).map(({ leafId }) => leafId),
+        leafIds: restarted.slice(0, MAX_LOGGED_LEAFS).map(({ leafId }) => leafId),
       });
     }
   }
 }
 
-/** Entries of the store, told apart by whether they can be read. */
+/** Decoded entries of the store, and the names of those that cannot be decoded. */
 interface DecodedEntries {
   readonly leafs: ReadonlyArray<Leaf>;
   readonly unreadable: ReadonlyArray<string>;
 }
 
-function missingIn({ byId }: LeafTable, leafIds: Iterable<string>): ReadonlyArray<string> {
-  return [...leafIds].filter((leafId) => !byId.has(leafId)).slice(0, MOST_NAMED);
+function idsMissingIn({ byId }: LeafTable, leafIds: Iterable<string>): ReadonlyArray<string> {
+  return [...leafIds].filter((leafId) => !byId.has(leafId)).slice(0, MAX_LOGGED_LEAFS);
 }
--- a/cluster_state/leaf_registry_test.ts
+++ b/cluster_state/leaf_registry_test.ts
@@ -3,8 +3,8 @@
 import { LeafRegistry } from "./leaf_registry.js";
 
 function entry(name: string, revision: number, state = "ready"): StoreObject {
-  const place = { service: "s", address: "10.0.0.1:80", zone: "a", version: "v1" };
-  const spec = { ...place, slots: 2, state, warmupLeftMs: 0, sequence: 1 };
+  const fields = { service: "s", address: "10.0.0.1:80", zone: "a", version: "v1" };
+  const spec = { ...fields, slots: 2, state, warmupLeftMs: 0, sequence: 1 };
   return { name, revision, spec };
 }
 
@@ -21,12 +21,12 @@
   return { registry, changes: () => changes };
 }
 
-t.test("a list that is older than what peers have told changes nothing", async (t) => {
+t.test("a list older than the state of a peer is ignored", async (t) => {
   const { registry } = makeRegistry();
   registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
-  const told = registry.table.byId.get("a");
-  t.ok(told);
-  const draining = { ...(told as NonNullable<typeof told>), draining: true };
+  const leaf = registry.table.byId.get("a");
+  t.ok(leaf);
+  const draining = { ...(leaf as NonNullable<typeof leaf>), draining: true };
   registry.mergeSharedState({ leafs: [draining], removed: ["b"], lapsed: [], leafsRevision: 20 });
   registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 15 });
   t.equal(registry.table.byId.get("a")?.draining, true);
@@ -34,7 +34,7 @@
   t.equal(registry.revision, 20);
 });
 
-t.test("changes that peers have told already are passed over, later ones are taken", async (t) => {
+t.test("changes that a peer has already sent are ignored, later ones are applied", async (t) => {
   const { registry, changes } = makeRegistry();
   registry.applyList({ objects: [entry("a", 5)], revision: 10 });
   registry.mergeSharedState({ leafs: [], removed: ["a"], lapsed: [], leafsRevision: 20 });
@@ -46,7 +46,7 @@
   t.same(registry.changeLog.since(20), { changed: ["a"], removed: [] });
 });
 
-t.test("what a peer tells is passed over where this box is ahead", async (t) => {
+t.test("the state of a peer with an earlier revision is ignored", async (t) => {
   const { registry, changes } = makeRegistry();
   registry.applyList({ objects: [entry("a", 5)], revision: 10 });
   registry.mergeSharedState({ leafs: [], lapsed: [], leafsRevision: 9 });
@@ -55,7 +55,7 @@
 });
 
 t.test(
-  "a leaf that a peer has told to be missing goes in time though the store is away",
+  "a leaf that a peer reports as expired is dropped even while the store is unreachable",
   async (t) => {
     let nowMs = 0;
     const { registry } = makeRegistry({ nowMs: () => nowMs, graceMs: 2_000 });
@@ -63,21 +63,24 @@
     const leafs = [...registry.table.byId.values()];
     registry.mergeSharedState({ leafs, lapsed: [{ leafId: "a", leftMs: 500 }], leafsRevision: 20 });
     registry.dropExpired({ isStoreReachable: false });
-    t.ok(registry.table.byId.has("a"), "it may come back yet");
+    t.ok(registry.table.byId.has("a"), "its entry may still reappear");
     nowMs = 600;
     registry.dropExpired({ isStoreReachable: false });
     t.same([...registry.table.byId.keys()], ["b"]);
   },
 );
 
-t.test("a leaf that this box alone misses is kept while the store is away", async (t) => {
-  let nowMs = 0;
-  const { registry } = makeRegistry({ nowMs: () => nowMs, graceMs: 2_000 });
-  registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
-  registry.applyList({ objects: [entry("b", 6)], revision: 11 });
-  nowMs = 9_000;
-  registry.dropExpired({ isStoreReachable: false });
-  t.ok(registry.table.byId.has("a"));
-  registry.dropExpired({ isStoreReachable: true });
-  t.notOk(registry.table.byId.has("a"));
-});
+t.test(
+  "a leaf whose entry only this box misses is kept while the store is unreachable",
+  async (t) => {
+    let nowMs = 0;
+    const { registry } = makeRegistry({ nowMs: () => nowMs, graceMs: 2_000 });
+    registry.applyList({ objects: [entry("a", 5), entry("b", 6)], revision: 10 });
+    registry.applyList({ objects: [entry("b", 6)], revision: 11 });
+    nowMs = 9_000;
+    registry.dropExpired({ isStoreReachable: false });
+    t.ok(registry.table.byId.has("a"));
+    registry.dropExpired({ isStoreReachable: true });
+    t.notOk(registry.table.byId.has("a"));
+  },
+);
--- a/cluster_state/mod.ts
+++ b/cluster_state/mod.ts
@@ -1,5 +1,6 @@
 /**
- * What a box believes: the configuration and the leafs, from the store or from other boxes.
+ * State of the cluster as a box knows it from the store and from other boxes: the configuration, the leafs and the
+ * evacuations.
  *
  * @module
  */
--- a/cluster_state/peer_catch_up.ts
+++ b/cluster_state/peer_catch_up.ts
@@ -1,5 +1,5 @@
 /**
- * Takes over from peers what the store has not told this box yet.
+ * Fetches state from peers that have newer versions than this box.
  *
  * @module
  */
@@ -10,16 +10,13 @@
 import type { ClusterState } from "./cluster_state.js";
 import { clusterStateUrl, decodeSharedState } from "./shared_state.js";
 
-/** Time that a peer has to hand over what it knows, in milliseconds. */
-const PEER_ANSWER_MS = 1_000;
+/** Timeout of a request to a peer, in milliseconds. */
+const PEER_REQUEST_TIMEOUT_MS = 1_000;
 
-/**
- * Time that news has to come from the store, or from a box near, before a peer is asked, in
- * milliseconds.
- */
-const PEER_WAIT_MS = 600;
+/** Time to wait for an update from the store or a local box before a peer is queried, in milliseconds. */
+const UPDATE_WAIT_MS = 600;
 
-/** What catching up works on. */
+/** Options of the catch-up. */
 export interface PeerCatchUpOptions {
   /** Name of this box. */
   readonly box: string;
@@ -27,105 +24,102 @@
     ClusterState,
     "isStoreReachable" | "isWatcher" | "progress" | "mergeSharedState"
   >;
-  /** Tells whether a box is in this one's region. */
+  /** Returns whether a box is in this box's region. */
   readonly isLocal: (member: Member) => boolean;
   /**
-   * Told after something was taken over from a box of another region. It came sooner than from the
-   * boxes near that watch the store, so these may not hear it, and the others near wait for them.
+   * Called after a fetch from a box of another region, to notify the local boxes: they may be waiting for a local box
+   * that does not have the update.
    */
   readonly onRemoteUpdate: () => void;
   readonly telemetry: Pick<BoxTelemetry, "event">;
 }
 
-/** Fetches from peers that are ahead, one at a time. */
+/** Fetches state from peers that have newer versions, one at a time. */
 export class PeerCatchUp {
   readonly #options: PeerCatchUpOptions;
   #fetching = false;
-  /** What a peer has told meanwhile; passed over, it would come again only by the regular exchanges. */
-  #toldMeanwhile: PeerNews | undefined;
+  /** Latest progress that a peer reported during a fetch; it is compared again after the fetch. */
+  #deferred: PeerProgress | undefined;
 
   /**
-   * @param options - What catching up works on.
+   * @param options - Options of the catch-up.
    */
   constructor(options: PeerCatchUpOptions) {
     this.#options = options;
   }
 
   /**
-   * Compares how far a peer is with how far this box is, and fetches where it stays behind.
+   * Fetches the state of a peer if its versions are newer and this box does not get them from elsewhere in time.
    *
    * @param member - The peer.
-   * @param progress - How far it is.
+   * @param progress - Versions that the peer has.
    */
   catchUp(member: Member, progress: SyncProgress): void {
-    const { box, clusterState: knowledge } = this.#options;
-    if (member.memberId === box || !isAhead(progress, knowledge.progress)) {
+    const { box, clusterState } = this.#options;
+    if (member.memberId === box || !isNewer(progress, clusterState.progress)) {
       return;
     }
     if (this.#fetching) {
-      this.#toldMeanwhile = { member, progress };
+      this.#deferred = { member, progress };
       return;
     }
     this.#fetching = true;
-    // A store that is lost tells nothing, and waiting for it would cost a fifth of the time that news has.
-    const isStoreExpected = knowledge.isWatcher && knowledge.isStoreReachable;
-    const isExpected = isStoreExpected || !this.#options.isLocal(member);
+    // An unreachable store sends no update, so there is no point in waiting for it.
+    const isStoreUpdateExpected = clusterState.isWatcher && clusterState.isStoreReachable;
+    const isUpdateExpected = isStoreUpdateExpected || !this.#options.isLocal(member);
     setTimeout(
       () => {
-        const fetched = isAhead(progress, knowledge.progress)
+        const fetched = isNewer(progress, clusterState.progress)
           ? this.#fetchFrom(member)
           : Promise.resolve();
-        void fetched.finally(() => this.#compareAgain());
+        void fetched.finally(() => this.#compareDeferred());
       },
-      isExpected ? PEER_WAIT_MS : 0,
+      isUpdateExpected ? UPDATE_WAIT_MS : 0,
     );
   }
 
-  #compareAgain(): void {
+  #compareDeferred(): void {
     this.#fetching = false;
-    const told = this.#toldMeanwhile;
-    this.#toldMeanwhile = undefined;
-    if (told !== undefined) {
-      this.catchUp(told.member, told.progress);
+    const deferred = this.#deferred;
+    this.#deferred = undefined;
+    if (deferred !== undefined) {
+      this.catchUp(deferred.member, deferred.progress);
     }
   }
 
   async #fetchFrom(member: Member): Promise<void> {
     const { address, peerPort, box } = member;
-    const {
-      isLocal: isNear,
-      clusterState: knowledge,
-      onRemoteUpdate: onFarNews,
-      telemetry,
-    } = this.#options;
+    const { clusterState, isLocal, onRemoteUpdate, telemetry } = this.#options;
     const client = new Client(`http://${address}:${peerPort}`);
     try {
-      const answer = await client.request({
+      const response = await client.request({
         method: "GET",
-        path: clusterStateUrl(knowledge.progress),
-        signal: AbortSignal.timeout(PEER_ANSWER_MS),
+        path: clusterStateUrl(clusterState.progress),
+        signal: AbortSignal.timeout(PEER_REQUEST_TIMEOUT_MS),
       });
-      knowledge.mergeSharedState(decodeSharedState(Buffer.from(await answer.body.arrayBuffer())));
-      telemetry.event("info", "fleet: took over from peer", { member: box });
-      if (!isNear(member)) {
-        onFarNews();
+      clusterState.mergeSharedState(
+        decodeSharedState(Buffer.from(await response.body.arrayBuffer())),
+      );
+      telemetry.event("info", "fleet: fetched state from peer", { member: box });
+      if (!isLocal(member)) {
+        onRemoteUpdate();
       }
     } catch (error) {
       const reason = (error as Error).message;
-      telemetry.event("warn", "fleet: cannot take over from peer", { member: box, reason });
+      telemetry.event("warn", "fleet: cannot fetch state from peer", { member: box, reason });
     } finally {
       void client.destroy();
     }
   }
 }
 
-/** How far a peer is. */
-interface PeerNews {
+/** Versions that a peer has. */
+interface PeerProgress {
   readonly member: Member;
   readonly progress: SyncProgress;
 }
 
-function isAhead(peer: SyncProgress, own: SyncProgress): boolean {
+function isNewer(peer: SyncProgress, own: SyncProgress): boolean {
   return (
     peer.configurationVersion > own.configurationVersion || peer.leafsRevision > own.leafsRevision
   );
--- a/cluster_state/peer_catch_up_test.ts
+++ b/cluster_state/peer_catch_up_test.ts
@@ -7,31 +7,32 @@
 
 const LOOPBACK = "127.0.0.1";
 
-/** A box that is ahead: it hands over a list of leafs as of revision 7. */
+/** Starts a peer that serves a list of leafs at revision 7. */
 async function startPeer(t: Test): Promise<Member> {
   const shared = encodeSharedState({ leafs: [], lapsed: [], leafsRevision: 7 });
   const server: Server = createServer((_request, response) => response.end(shared));
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
   t.teardown(() => server.closeAllConnections());
-  const bound = server.address();
-  const peerPort = typeof bound === "object" && bound !== null ? bound.port : 0;
+  const socketAddress = server.address();
+  const peerPort =
+    typeof socketAddress === "object" && socketAddress !== null ? socketAddress.port : 0;
   return sampleMember({ memberId: "peer", address: LOOPBACK, peerPort });
 }
 
-/** How the box stands that hears of a peer. */
-interface Hearer {
-  readonly isNear: boolean;
+/** Situation of the box that fetches from the peer. */
+interface FetchingBox {
+  readonly isLocal: boolean;
   readonly isWatcher?: boolean;
   readonly isStoreReachable?: boolean;
 }
 
-/** Has a box hear of the peer; tells in which order things happened. */
-async function hearFrom(
+/** Reports the progress of the peer to a box, and returns what the box does in order. */
+async function catchUpWith(
   peer: Member,
-  { isNear, isWatcher = false, isStoreReachable = true }: Hearer,
+  { isLocal, isWatcher = false, isStoreReachable = true }: FetchingBox,
 ): Promise<ReadonlyArray<string>> {
-  const happened: Array<string> = [];
+  const actions: Array<string> = [];
   await new Promise<void>((resolve) => {
     const catchUp = new PeerCatchUp({
       box: "self",
@@ -39,45 +40,47 @@
         ...{ isWatcher, isStoreReachable },
         progress: { configurationVersion: 1, leafsRevision: 5 },
         mergeSharedState: ({ leafsRevision }) => {
-          happened.push(`took over ${leafsRevision}`);
+          actions.push(`merged ${leafsRevision}`);
         },
       },
-      isLocal: () => isNear,
-      onRemoteUpdate: () => happened.push("told the boxes near"),
+      isLocal: () => isLocal,
+      onRemoteUpdate: () => actions.push("notified local boxes"),
       telemetry: { event: () => setImmediate(resolve) },
     });
     catchUp.catchUp(peer, { configurationVersion: 1, leafsRevision: 7 });
   });
-  return happened;
+  return actions;
 }
 
-t.test("news from another region is told on to the boxes near", async (t) => {
+t.test("an update from another region is forwarded to the local boxes", async (t) => {
   const peer = await startPeer(t);
-  t.same(await hearFrom(peer, { isNear: false }), ["took over 7", "told the boxes near"]);
+  t.same(await catchUpWith(peer, { isLocal: false }), ["merged 7", "notified local boxes"]);
 });
 
-t.test("news from a box near is not told on, as the others near hear it as well", async (t) => {
+t.test("an update from a local box is not forwarded", async (t) => {
   const peer = await startPeer(t);
-  t.same(await hearFrom(peer, { isNear: true }), ["took over 7"]);
+  t.same(await catchUpWith(peer, { isLocal: true }), ["merged 7"]);
 });
 
-// A box waited for the store to tell it what a peer near had told it already, also when the store was
-// lost to it and could not: 600 ms of the 3 s in which a leaf that drains must get no more work.
-t.test("a box that watches a lost store asks a peer near at once", async (t) => {
+// Waiting for an unreachable store would delay the update of a draining leaf.
+t.test("a watcher of an unreachable store queries a local peer immediately", async (t) => {
   const peer = await startPeer(t);
   const startedAtMs = performance.now();
-  const lost = { isNear: true, isWatcher: true, isStoreReachable: false };
-  t.same(await hearFrom(peer, lost), ["took over 7"]);
+  const disconnected = { isLocal: true, isWatcher: true, isStoreReachable: false };
+  t.same(await catchUpWith(peer, disconnected), ["merged 7"]);
   t.ok(performance.now() - startedAtMs < 400);
-  const heard = { isNear: true, isWatcher: true, isStoreReachable: true };
-  t.same(await hearFrom(peer, heard), ["took over 7"]);
-  t.ok(performance.now() - startedAtMs >= 600, "one that hears the store lets it come first");
+  const connected = { isLocal: true, isWatcher: true, isStoreReachable: true };
+  t.same(await catchUpWith(peer, connected), ["merged 7"]);
+  t.ok(
+    performance.now() - startedAtMs >= 600,
+    "a watcher that reaches the store waits for it first",
+  );
 });
 
-t.test("news told while another fetch is under way is looked at after it", async (t) => {
+t.test("progress reported during a fetch is handled after it", async (t) => {
   const first = await startPeer(t);
   const second = await startPeer(t);
-  const from: Array<string> = [];
+  const fetchedFrom: Array<string> = [];
   let leafsRevision = 5;
   await new Promise<void>((resolve) => {
     const catchUp = new PeerCatchUp({
@@ -95,8 +98,8 @@
       onRemoteUpdate: () => undefined,
       telemetry: {
         event: (_level, _message, fields) => {
-          from.push(String(fields?.member));
-          if (from.length === 2) {
+          fetchedFrom.push(String(fields?.member));
+          if (fetchedFrom.length === 2) {
             resolve();
           }
         },
@@ -105,5 +108,5 @@
     catchUp.catchUp({ ...first, box: "first" }, { configurationVersion: 1, leafsRevision: 6 });
     catchUp.catchUp({ ...second, box: "second" }, { configurationVersion: 1, leafsRevision: 9 });
   });
-  t.same(from, ["first", "second"]);
+  t.same(fetchedFrom, ["first", "second"]);
 });
--- a/cluster_state/quarantine_archive.ts
+++ b/cluster_state/quarantine_archive.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps queries that are not sent any more in the platform's store, so that they are known after all boxes
- * have started again at once. What is only suspected is not kept: it is learnt again at the cost of few leafs.
+ * Persists quarantined queries in the platform's store, so that they survive a simultaneous restart of all boxes.
+ * Suspected queries are not persisted.
  *
  * @module
  */
@@ -18,74 +18,75 @@
 } from "../quarantine/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
-/** Time after the start in which a box learns of the others, in milliseconds. */
-const LEARN_BOXES_MS = 1_000;
+/** Time after the start in which a box discovers its peers, in milliseconds. */
+const PEER_DISCOVERY_MS = 1_000;
 
-/** Time between two tries while the store does not do what it is asked, in milliseconds. */
-const RETRY_MS = 1_000;
+/** Delay between attempts while calls to the store fail, in milliseconds. */
+const RETRY_DELAY_MS = 1_000;
 
-/** Tries before it is left at that: other boxes know as well, and each call has its price. */
-const MOST_TRIES = 60;
+/** Maximum number of attempts; other boxes persist the same queries, and each call is charged. */
+const MAX_ATTEMPTS = 60;
 
-/** What the archive needs of its box. */
+/** Options of a quarantine archive. */
 export interface QuarantineArchiveOptions {
   readonly store: Pick<StoreClient, "create" | "list" | "remove">;
   readonly nowMs: () => number;
-  /** The time of day, in milliseconds since the epoch. */
+  /** Returns the time of day, in milliseconds since the epoch. */
   readonly nowEpochMs: () => number;
-  /** Told what was found. */
-  readonly onLoaded: (told: ReadonlyArray<ReportedCrashes>) => void;
+  /** Called with the loaded queries. */
+  readonly onLoaded: (crashes: ReadonlyArray<ReportedCrashes>) => void;
   readonly telemetry: Pick<BoxTelemetry, "event">;
 }
 
-/** The archive of one box. */
+/** Archive of quarantined queries. */
 export class QuarantineArchive {
   readonly #options: QuarantineArchiveOptions;
   #isStopped = false;
   #timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param options - What the archive needs of its box.
+   * @param options - Options of the archive.
    */
   constructor(options: QuarantineArchiveOptions) {
     this.#options = options;
   }
 
   /**
-   * Reads what earlier lives have left, once this box has learnt of the others.
+   * Schedules loading for when this box has discovered its peers.
    *
-   * @param isReader - Tells then whether this box is to read; the others are told by those that do.
+   * @param isReader - Returns, at that time, whether this box should load; other boxes receive the queries from those
+   *   that do.
    */
   scheduleLoad(isReader: () => boolean): void {
     this.#timer = setTimeout(() => {
       if (isReader()) {
         void this.load();
       }
-    }, LEARN_BOXES_MS);
+    }, PEER_DISCOVERY_MS);
   }
 
-  /** Reads what earlier lives have left, until the store has answered. */
+  /** Loads the queries that earlier incarnations have persisted, with retries, and removes expired ones. */
   async load(): Promise<void> {
-    await this.#untilDone("load", async () => {
+    await this.#retry("load", async () => {
       const listed = await this.#options.store.list(QUARANTINE_KIND, { mayBeStale: false });
       if (listed.isErr()) {
         return listed.error.message;
       }
       const nowEpochMs = this.#options.nowEpochMs();
-      const told = listed.value.objects.flatMap(({ name, spec }) => {
+      const crashes = listed.value.objects.flatMap(({ name, spec }) => {
         return decodeQuarantineEntry(name, spec, nowEpochMs) ?? [];
       });
-      this.#options.onLoaded(told);
-      await this.#removeOld(told);
+      this.#options.onLoaded(crashes);
+      await this.#removeExpired(crashes);
       return undefined;
     });
   }
 
   /**
-   * Takes in a change of what is believed of a query.
+   * Persists a query that was quarantined, and removes one that no longer is.
    *
-   * @param record - What is believed now.
-   * @param before - What was believed, if anything.
+   * @param record - New record of the query.
+   * @param before - Previous record; undefined if there was none.
    */
   async recordChange(record: CrashRecord, before: CrashRecord | undefined): Promise<void> {
     const { fingerprint, standing } = record;
@@ -93,24 +94,24 @@
       return;
     }
     if (standing === "quarantined") {
-      await this.#untilDone("keep", () => this.#create(record));
+      await this.#retry("keep", () => this.#create(record));
     } else if (before?.standing === "quarantined") {
-      await this.#untilDone("remove", () => this.#remove(fingerprint));
+      await this.#retry("remove", () => this.#remove(fingerprint));
     }
   }
 
   /**
-   * Keeps queries again that the store may have lost as it came back from a copy.
+   * Persists all quarantined queries again, as a store that was restored from a backup may lack them.
    *
-   * @param records - What is believed of all queries.
+   * @param records - Records of all queries.
    */
   async rewrite(records: ReadonlyArray<CrashRecord>): Promise<void> {
     for (const record of records.filter(({ standing }) => standing === "quarantined")) {
-      await this.#untilDone("keep again", () => this.#create(record));
+      await this.#retry("keep again", () => this.#create(record));
     }
   }
 
-  /** Ends all tries. */
+  /** Stops all attempts. */
   stop(): void {
     this.#isStopped = true;
     clearTimeout(this.#timer);
@@ -119,9 +120,9 @@
   async #create(record: CrashRecord): Promise<string | undefined> {
     const { nowMs, nowEpochMs, store } = this.#options;
     const entry = encodeQuarantineEntry(toReportedCrashes(record, nowMs()), nowEpochMs());
-    const made = await store.create(QUARANTINE_KIND, record.fingerprint, entry);
-    // A conflict says that it is there already.
-    return made.isErr() && made.error.kind !== "conflict" ? made.error.message : undefined;
+    const created = await store.create(QUARANTINE_KIND, record.fingerprint, entry);
+    // A conflict means that the entry already exists.
+    return created.isErr() && created.error.kind !== "conflict" ? created.error.message : undefined;
   }
 
   async #remove(fingerprint: string): Promise<string | undefined> {
@@ -129,25 +130,25 @@
     return removed.isErr() && removed.error.kind !== "notFound" ? removed.error.message : undefined;
   }
 
-  async #removeOld(told: ReadonlyArray<ReportedCrashes>): Promise<void> {
-    const old = told.filter(({ changedAgoMs }) => changedAgoMs >= RETENTION_MS.quarantined);
-    for (const { fingerprint } of old) {
+  async #removeExpired(crashes: ReadonlyArray<ReportedCrashes>): Promise<void> {
+    const expired = crashes.filter(({ changedAgoMs }) => changedAgoMs >= RETENTION_MS.quarantined);
+    for (const { fingerprint } of expired) {
       await this.#remove(fingerprint);
     }
   }
 
-  /** Tries until there is no fault to tell of any more. */
-  async #untilDone(what: string, attempt: () => Promise<string | undefined>): Promise<void> {
-    for (let tries = 1; tries <= MOST_TRIES && !this.#isStopped; tries++) {
-      const reason = await attempt();
+  /** Repeats an operation until it returns no error, or until the maximum number of attempts. */
+  async #retry(what: string, operation: () => Promise<string | undefined>): Promise<void> {
+    for (let attempt = 1; attempt <= MAX_ATTEMPTS && !this.#isStopped; attempt++) {
+      const reason = await operation();
       if (reason === undefined) {
         return;
       }
-      if (tries === 1 || tries === MOST_TRIES) {
-        const fields = { what, tries, reason };
-        this.#options.telemetry.event("warn", "quarantine: store does not answer", fields);
+      if (attempt === 1 || attempt === MAX_ATTEMPTS) {
+        const fields = { what, tries: attempt, reason };
+        this.#options.telemetry.event("warn", "quarantine: call to the store failed", fields);
       }
-      await new Promise((resolve) => setTimeout(resolve, RETRY_MS).unref());
+      await new Promise((resolve) => setTimeout(resolve, RETRY_DELAY_MS).unref());
     }
   }
 }
--- a/cluster_state/shared_state.ts
+++ b/cluster_state/shared_state.ts
@@ -1,5 +1,5 @@
 /**
- * What a box hands to a peer that is behind: the configuration, and the leafs that have changed.
+ * State that a box sends to a peer whose own is older: the configuration, and the leafs that have changed.
  *
  * @module
  */
@@ -10,35 +10,38 @@
 import { isSharedState, type SharedState } from "./_shared_state_fields.js";
 import type { LeafChangeLog } from "./leaf_change_log.js";
 
-export type { ExpiredLeaf, SharedState } from "./_shared_state_fields.js";
+export type {
+  ExpiredLeaf,
+  SharedState,
+} from "./_shared_state_fields.js";
 
-/** Path at which peers hand over what they know. */
+/** HTTP path at which a box serves its state to peers. */
 export const CLUSTER_STATE_PATH = "/peer/v1/knowledge";
 
-/** Largest answer taken, inflated, in bytes: far above a configuration and thousands of leafs. */
-const MAX_SHARED_BYTES = 64 * 1_048_576;
+/** Maximum size of an inflated response, in bytes. */
+const MAX_SHARED_STATE_BYTES = 64 * 1_048_576;
 
-/** What a box knows. */
+/** State of a box from which shared state is selected. */
 export interface ClusterStateSnapshot {
   readonly configuration: Configuration | undefined;
   readonly leafs: LeafTable;
-  readonly news: LeafChangeLog;
+  readonly changeLog: LeafChangeLog;
   readonly leafsRevision: number;
   readonly nowMs: number;
 }
 
 /**
- * Picks what a peer lacks.
+ * Selects the state that a peer lacks.
  *
- * @param known - What this box knows.
- * @param progress - How far the peer is.
- * @returns What it takes over.
+ * @param snapshot - State of this box.
+ * @param progress - Versions that the peer has.
+ * @returns The state to send to the peer.
  */
 export function selectSharedState(
-  { configuration, leafs, news, leafsRevision, nowMs }: ClusterStateSnapshot,
+  { configuration, leafs, changeLog, leafsRevision, nowMs }: ClusterStateSnapshot,
   progress: SyncProgress,
 ): SharedState {
-  const since = news.since(progress.leafsRevision);
+  const since = changeLog.since(progress.leafsRevision);
   const lapsed = [...leafs.expiresAtMs].map(([leafId, atMs]) => ({ leafId, leftMs: atMs - nowMs }));
   const changed = since?.changed.flatMap((leafId) => leafs.byId.get(leafId) ?? []);
   const isNewer = (configuration?.version ?? 0) > progress.configurationVersion;
@@ -52,59 +55,59 @@
 }
 
 /**
- * Takes in leafs that a peer handed over.
+ * Merges the leafs of a peer into a table.
  *
- * @param table - Leafs known so far.
- * @param shared - What was handed over.
- * @param nowMs - The present moment.
- * @returns The table after that.
+ * @param table - Current leafs.
+ * @param shared - State received from the peer.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The updated table.
  */
 export function applySharedState(
   table: LeafTable,
   { leafs, removed, lapsed }: SharedState,
   nowMs: number,
 ): LeafTable {
-  const atOnce = { nowMs, graceMs: 0 };
-  const taken =
+  const withoutGrace = { nowMs, graceMs: 0 };
+  const merged =
     removed === undefined
-      ? applyLeafList(table, leafs, atOnce)
-      : applyLeafChanges(table, { changed: leafs, removed }, atOnce);
-  return lapsed.reduce((now, { leafId, leftMs }) => {
+      ? applyLeafList(table, leafs, withoutGrace)
+      : applyLeafChanges(table, { changed: leafs, removed }, withoutGrace);
+  return lapsed.reduce((current, { leafId, leftMs }) => {
     const options = { nowMs, graceMs: Math.max(1, leftMs) };
-    return applyLeafChanges(now, { changed: [], removed: [leafId] }, options);
-  }, taken);
+    return applyLeafChanges(current, { changed: [], removed: [leafId] }, options);
+  }, merged);
 }
 
 /**
- * Writes what is handed over.
+ * Encodes shared state.
  *
- * @param shared - What is handed over.
- * @returns Its bytes.
+ * @param shared - State to encode.
+ * @returns Deflated JSON.
  */
 export function encodeSharedState(shared: SharedState): Buffer {
   return deflateRawSync(JSON.stringify(shared));
 }
 
 /**
- * Reads what a peer handed over.
+ * Decodes shared state.
  *
- * @param bytes - What it wrote.
- * @returns What was handed over.
- * @throws Where the bytes are no such thing.
+ * @param bytes - Bytes received from a peer.
+ * @returns The decoded state.
+ * @throws If the bytes cannot be inflated or parsed, or contain an invalid value.
  */
 export function decodeSharedState(bytes: Buffer): SharedState {
-  const text = inflateRawSync(bytes, { maxOutputLength: MAX_SHARED_BYTES }).toString("utf8");
+  const text = inflateRawSync(bytes, { maxOutputLength: MAX_SHARED_STATE_BYTES }).toString("utf8");
   const data: unknown = JSON.parse(text);
   if (!isSharedState(data)) {
-    throw new Error("Cannot read what the peer handed over: not as agreed");
+    throw new Error("Cannot decode shared state: invalid value");
   }
   return data;
 }
 
 /**
- * Writes the path by which a peer is asked.
+ * Builds the URL path to request state from a peer.
  *
- * @param progress - How far this box is.
+ * @param progress - Versions that this box has.
  * @returns Path and query.
  */
 export function clusterStateUrl({ configurationVersion, leafsRevision }: SyncProgress): string {
@@ -112,10 +115,10 @@
 }
 
 /**
- * Reads how far the peer is that asks.
+ * Parses the versions that the requesting peer has.
  *
  * @param url - Path and query.
- * @returns How far it is; nowhere where it does not say.
+ * @returns The versions; 0 for each that is missing or invalid.
  */
 export function decodeClusterStateUrl(url: string): SyncProgress {
   const query = new URLSearchParams(url.split("?")[1] ?? "");
--- a/cluster_state/shared_state_fuzz_test.ts
+++ b/cluster_state/shared_state_fuzz_test.ts
@@ -1,7 +1,4 @@
-/**
- * What was seen by reading: what a peer handed over was taken as it came. A leaf whose port was a text, or a route without
- * homes, ended each box that took it over at its next call.
- */
+/** Guards against crashes of a box that merges invalid state from a peer. */
 import { deflateRawSync } from "node:zlib";
 import fc from "fast-check";
 import t from "tap";
@@ -30,12 +27,12 @@
     callerLimits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
   },
   leafs: [SAMPLE_LEAF],
-  removed: ["gone"],
+  removed: ["i-2"],
   lapsed: [{ leafId: "i-1", leftMs: 500 }],
   leafsRevision: 12,
 };
 
-/** The type of each value, place by place; what is missing has none. */
+/** Returns the type of each value in a nested structure. */
 function shapeOf(data: unknown): unknown {
   if (Array.isArray(data)) {
     return data.map(shapeOf).slice(0, 1);
@@ -46,47 +43,47 @@
   return typeof data;
 }
 
-function isOfShape(data: unknown, shape: unknown): boolean {
+function matchesShape(data: unknown, shape: unknown): boolean {
   if (Array.isArray(shape)) {
-    return Array.isArray(data) && data.every((each) => isOfShape(each, shape[0]));
+    return Array.isArray(data) && data.every((each) => matchesShape(each, shape[0]));
   }
   if (typeof shape === "object" && shape !== null) {
     const fields = Object(data) as Readonly<Record<string, unknown>>;
-    return Object.entries(shape).every(([name, each]) => isOfShape(fields[name], each));
+    return Object.entries(shape).every(([name, each]) => matchesShape(fields[name], each));
   }
   return typeof data === shape;
 }
 
 const LEAF_SHAPE = shapeOf(SAMPLE_LEAF);
 
-function isWhole({ configuration, lapsed, leafs, leafsRevision }: SharedState): boolean {
-  const areLeafs = leafs.every((leaf) => isOfShape(leaf, LEAF_SHAPE));
-  const areRoutes = (configuration?.routes ?? []).every(({ homes, host, prefix }) => {
+function isValid({ configuration, lapsed, leafs, leafsRevision }: SharedState): boolean {
+  const areLeafsValid = leafs.every((leaf) => matchesShape(leaf, LEAF_SHAPE));
+  const areRoutesValid = (configuration?.routes ?? []).every(({ homes, host, prefix }) => {
     return Array.isArray(homes) && typeof host === "string" && typeof prefix === "string";
   });
-  const areLapsed = lapsed.every(({ leafId, leftMs }) => {
+  const areLapsedValid = lapsed.every(({ leafId, leftMs }) => {
     return typeof leafId === "string" && Number.isFinite(leftMs);
   });
-  return areLeafs && areRoutes && areLapsed && Number.isFinite(leafsRevision);
+  return areLeafsValid && areRoutesValid && areLapsedValid && Number.isFinite(leafsRevision);
 }
 
-t.test("what is handed over whole is taken over", async (t) => {
+t.test("decodeSharedState() decodes the output of encodeSharedState()", async (t) => {
   t.same(decodeSharedState(encodeSharedState(SHARED)), SHARED);
 });
 
-t.test("what is handed over is taken where each value is what it should be, or not", async (t) => {
-  let taken = 0;
+t.test("decodeSharedState() returns valid state or throws", async (t) => {
+  let accepted = 0;
   fc.assert(
     fc.property(spoiltValue(SHARED, 60), (data) => {
       try {
         const shared = decodeSharedState(deflateRawSync(JSON.stringify(data)));
-        taken += 1;
-        return isWhole(shared);
+        accepted += 1;
+        return isValid(shared);
       } catch (error) {
-        return (error as Error).message.startsWith("Cannot read what the peer handed over");
+        return (error as Error).message.startsWith("Cannot decode shared state");
       }
     }),
     { numRuns: 3_000, seed: 31 },
   );
-  t.pass(`${taken} of 3,000 were taken`);
+  t.pass(`${accepted} of 3,000 were accepted`);
 });
--- a/cluster_state/store_health.ts
+++ b/cluster_state/store_health.ts
@@ -1,66 +1,60 @@
 /**
- * Whether the store can be heard, and how long entries that are gone may come back after it was away.
+ * Tracks whether the store is reachable, and how long missing entries may reappear after an outage.
  *
  * @module
  */
 import type { BoxTelemetry } from "../telemetry/mod.js";
 import type { FailedStoreCall, StoreWatchListener } from "./store_watch.js";
 
-/**
- * Time that a leaf's entry has to come back after an outage of the store, in milliseconds: entries
- * that lapsed meanwhile are written anew within about two seconds, or their leafs are gone.
- */
-const REAPPEAR_MS = 2_000;
+/** Time in which the entry of a leaf may reappear after an outage of the store, in milliseconds. */
+const GRACE_MS = 2_000;
 
-/**
- * Time after the store's return in which entries that are gone are taken to have lapsed, in
- * milliseconds; those whose leafs live are back by then.
- */
-const RETURN_MS = 2_500;
+/** Time after a recovery of the store in which missing entries count as expired, in milliseconds. */
+const RECOVERY_MS = 2_500;
 
-/** What the health is made from. */
+/** Options of the store health. */
 export interface StoreHealthOptions {
   readonly telemetry: Pick<BoxTelemetry, "event" | "storeAnswers">;
   readonly nowMs: () => number;
 }
 
-/** Health of the store as this box sees it. */
+/** Health of the store from the view of this box. */
 export class StoreHealth {
   readonly #options: StoreHealthOptions;
-  /** Kinds whose watch has lost the store. */
-  readonly #lost = new Set<string>();
-  /** When the store last answered for a kind, on this box's clock. */
+  /** Kinds whose watch cannot reach the store. */
+  readonly #unreachable = new Set<string>();
+  /** Time of the store's last answer by kind, on this box's clock. */
   readonly #answeredAtMs = new Map<string, number>();
-  #regainedAtMs = -Infinity;
-  #heardAtMs = -Infinity;
+  #recoveredAtMs = -Infinity;
+  #lastUpdateAtMs = -Infinity;
 
   /**
-   * @param options - What the health is made from.
+   * @param options - Options of the health.
    */
   constructor(options: StoreHealthOptions) {
     this.#options = options;
   }
 
-  /** Whether the store can be heard. */
+  /** Whether the store is reachable for all watched kinds. */
   get isReachable(): boolean {
-    return this.#lost.size === 0;
+    return this.#unreachable.size === 0;
   }
 
-  /** When news last came, from the store or as `noteHeard()` was told; minus infinity before. */
+  /** Time of the last update, from the store or by `recordUpdate()`; negative infinity before the first. */
   get lastUpdateAtMs(): number {
-    return this.#heardAtMs;
+    return this.#lastUpdateAtMs;
   }
 
-  /** Time that an entry which is gone has to come back, in milliseconds; 0 for none. */
+  /** Time in which a missing entry may reappear, in milliseconds; 0 if it may not. */
   get graceMs(): number {
-    const sinceReturnMs = this.#options.nowMs() - this.#regainedAtMs;
-    return !this.isReachable || sinceReturnMs < RETURN_MS ? REAPPEAR_MS : 0;
+    const sinceRecoveryMs = this.#options.nowMs() - this.#recoveredAtMs;
+    return !this.isReachable || sinceRecoveryMs < RECOVERY_MS ? GRACE_MS : 0;
   }
 
   /**
-   * Tells how old the store's last word is, by kind: one kind may be heard while another is not.
+   * Returns the age of the store's last answer by kind, as some kinds may be reachable while others are not.
    *
-   * @returns The age in milliseconds, by kind.
+   * @returns The ages, in milliseconds.
    */
   answeredAgoMs(): ReadonlyMap<string, number> {
     const nowMs = this.#options.nowMs();
@@ -68,31 +62,31 @@
     return new Map(entries.map(([kind, atMs]) => [kind, Math.round(nowMs - atMs)]));
   }
 
-  /** Notes news that came by another way. */
+  /** Records an update that was received from elsewhere. */
   recordUpdate(): void {
-    this.#heardAtMs = this.#options.nowMs();
+    this.#lastUpdateAtMs = this.#options.nowMs();
   }
 
-  /** Says that the store is back: entries that it lacks have the usual time to come back. */
+  /** Records a recovery of the store: missing entries may reappear for the grace time. */
   recordRecovery(): void {
-    this.#regainedAtMs = this.#options.nowMs();
+    this.#recoveredAtMs = this.#options.nowMs();
   }
 
   /**
-   * Says that a kind is not watched any more, so that its watch tells nothing of the store.
+   * Discards the state of a kind that is no longer watched.
    *
-   * @param kind - The kind.
+   * @param kind - Kind of object.
    */
   forget(kind: string): void {
-    this.#lost.delete(kind);
+    this.#unreachable.delete(kind);
     this.#answeredAtMs.delete(kind);
   }
 
   /**
-   * Makes the listener of a watch: what it hears of the store is noted here and logged.
+   * Creates the listener of a watch, which records and logs the reachability of the store.
    *
-   * @param kind - Kind that is watched.
-   * @param handlers - Where the news itself goes.
+   * @param kind - Kind of object that is watched.
+   * @param handlers - Callbacks for the objects themselves.
    * @returns The listener.
    */
   listener(
@@ -107,24 +101,24 @@
         this.#answeredAtMs.set(kind, nowMs());
         telemetry.storeAnswers.inc({ kind, outcome: "answered" });
       },
-      onFailed: (failed) => this.#noteFailed(kind, failed),
+      onFailed: (failed) => this.#recordFailure(kind, failed),
       onHistoryCompacted: () =>
-        telemetry.event("warn", "store: history gone, listing anew", { kind }),
+        telemetry.event("warn", "store: history compacted, listing again", { kind }),
       onRecovered: () => {
-        this.#lost.delete(kind);
-        this.#regainedAtMs = nowMs();
-        telemetry.event("info", "store: regained", { kind });
+        this.#unreachable.delete(kind);
+        this.#recoveredAtMs = nowMs();
+        telemetry.event("info", "store: reachable again", { kind });
       },
     };
   }
 
-  #noteFailed(kind: string, { error, tookMs, failures }: FailedStoreCall): void {
+  #recordFailure(kind: string, { error, tookMs, failures }: FailedStoreCall): void {
     const { telemetry } = this.#options;
     telemetry.storeAnswers.inc({ kind, outcome: error.kind });
-    this.#lost.add(kind);
+    this.#unreachable.add(kind);
     const answeredAgoMs = this.answeredAgoMs().get(kind) ?? null;
     const fields = { kind, tookMs, failures, answeredAgoMs, reason: error.message };
-    const sentence = failures === 1 ? "store: lost" : "store: still not heard";
-    telemetry.event("warn", sentence, fields);
+    const message = failures === 1 ? "store: unreachable" : "store: still unreachable";
+    telemetry.event("warn", message, fields);
   }
 }
--- a/cluster_state/store_health_test.ts
+++ b/cluster_state/store_health_test.ts
@@ -2,14 +2,14 @@
 import type { LogFields } from "../telemetry/mod.js";
 import { StoreHealth } from "./store_health.js";
 
-t.test("failed calls are told with what they took and how old the last answer is", async (t) => {
+t.test("a failed call is logged with its duration and the age of the last answer", async (t) => {
   let nowMs = 1_000;
   const lines: Array<readonly [string, LogFields | undefined]> = [];
   const counted: Array<unknown> = [];
   const health = new StoreHealth({
     nowMs: () => nowMs,
     telemetry: {
-      event: (_level, sentence, fields) => lines.push([sentence, fields]),
+      event: (_level, message, fields) => lines.push([message, fields]),
       storeAnswers: { inc: (labels: unknown) => counted.push(labels) } as never,
     },
   });
@@ -25,8 +25,8 @@
   leafs.onFailed({ error, tookMs: 700, failures: 2 });
   const first = { kind: "leafs", tookMs: 6_000, failures: 1, answeredAgoMs: 6_000 };
   t.same(lines, [
-    ["store: lost", { ...first, reason: "no answer" }],
-    ["store: still not heard", { ...first, tookMs: 700, failures: 2, reason: "no answer" }],
+    ["store: unreachable", { ...first, reason: "no answer" }],
+    ["store: still unreachable", { ...first, tookMs: 700, failures: 2, reason: "no answer" }],
   ]);
   t.same(
     [...health.answeredAgoMs()],
--- a/cluster_state/store_watch.ts
+++ b/cluster_state/store_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps up with one kind of object in the platform's store: a list, then watches from there on.
+ * Tracks one kind of object in the platform's store: lists the objects, then watches for changes.
  *
  * @module
  */
@@ -13,112 +13,99 @@
   WATCH_RESPONSE_TIMEOUT_MS,
 } from "../platform/mod.js";
 
-/**
- * Pause after a watch that brought changes, in milliseconds: changes that come close together share
- * the next call, as each has its price. Well below the time in which changes must be in force.
- */
-const GATHER_MS = 500;
+/** Delay after a watch that returned changes, in milliseconds, to batch close changes into one charged call. */
+const BATCH_DELAY_MS = 500;
 
-/**
- * The same just after the store is heard again: entries that lapsed come back one after the other
- * then, and each is missed.
- */
-const SETTLE_GATHER_MS = 100;
+/** The same delay shortly after the store has recovered, while expired entries are written again one by one. */
+const RECOVERY_BATCH_DELAY_MS = 100;
 
-/** Time for which that holds, in milliseconds. */
-const SETTLE_MS = 3_000;
+/** Time after a recovery in which the shorter delay applies, in milliseconds. */
+const RECOVERY_MS = 3_000;
 
-/**
- * Kept in hand between the latest moment at which a change is heard and the one it is due, in
- * milliseconds: for the call that hears it and for telling the other boxes.
- */
-const SLACK_MS = 500;
+/** Time reserved to fetch a change and to notify other boxes before it must take effect, in milliseconds. */
+const PROPAGATION_MS = 500;
 
-/** Longest time that the store lets a watch wait, in milliseconds. */
-const MOST_WAIT_MS = 28_000;
+/** Maximum wait of a watch that the store allows, in milliseconds. */
+const MAX_WAIT_MS = 28_000;
 
-/** Shortest time that a watch waits, in milliseconds; less would only make calls. */
-const LEAST_WAIT_MS = 1_000;
+/** Minimum wait of a watch, in milliseconds, to limit the number of calls. */
+const MIN_WAIT_MS = 1_000;
 
-/** Pauses after failures in a row, in milliseconds. */
+/** Delays after consecutive failures, in milliseconds. */
 const BACKOFF_MS = [100, 250, 500] as const;
 
-/** Time that a watch waits for a change while the store is lost, in milliseconds. */
-const LOOK_WAIT_MS = 100;
+/** Wait of a watch while the store is unreachable, in milliseconds. */
+const PROBE_WAIT_MS = 100;
 
 /**
- * Times that the store has for its answer to a list, and to a watch while it is lost, in milliseconds,
- * by failures in a row. A call that began while the store was silent is not answered after its return,
- * so that it must be given up soon to find the store within 2 s; every fourth waits longer, in case
- * the store is slow.
+ * Timeouts of a list, and of a watch while the store is unreachable, in milliseconds, by consecutive failures. They are
+ * short, as a call that started during an outage may never be answered; every fourth is longer, in case the store is
+ * slow.
  */
-const LOOK_ANSWERS_MS = [700, 700, 700, STORE_RESPONSE_TIMEOUT_MS] as const;
+const PROBE_TIMEOUTS_MS = [700, 700, 700, STORE_RESPONSE_TIMEOUT_MS] as const;
 
-/** Longest pause before the next list, in milliseconds. */
-const MOST_LIST_PAUSE_MS = 250;
+/** Maximum delay before the next list, in milliseconds. */
+const MAX_LIST_DELAY_MS = 250;
 
-/** What the length of a watch depends on. */
+/** Limits from which the wait of a watch is computed. */
 export interface StoreWatchTerms {
-  /** Time after the end of a disturbance from which a box must act in time again, in milliseconds. */
+  /** Time after the end of an outage within which a box must have recovered, in milliseconds. */
   readonly recoveryDeadlineMs: number;
-  /** Time in which a box must act on a change, in milliseconds. */
+  /** Time within which a change must take effect, in milliseconds. */
   readonly changeDeadlineMs: number;
 }
 
 /**
- * Works out how long a watch may wait. One whose connection goes silent is noticed only when its time
- * and the time for an answer have passed. It may have begun just before, and a change may come just
- * after: that is due after `newsDueMs`, or when the box must act in time again where that is later.
- * Reckoned with the sum of both, a change was in force on no box for 5.4 s.
+ * Computes how long a watch may wait. A dropped connection is detected only after the wait and the answer timeout of the
+ * watch. A change that happens just after the drop must still take effect in time, or at the latest when the box must
+ * have recovered.
  *
- * @param terms - What it depends on.
- * @returns The time, in milliseconds.
+ * @param terms - Limits that apply.
+ * @returns The wait, in milliseconds.
  */
-export function watchWaitMs({
-  recoveryDeadlineMs: soundAfterMs,
-  changeDeadlineMs: newsDueMs,
-}: StoreWatchTerms): number {
-  const dueMs = Math.max(soundAfterMs, newsDueMs);
-  const mostMs = dueMs - WATCH_RESPONSE_TIMEOUT_MS - BACKOFF_MS[0] - SLACK_MS;
-  return Math.min(MOST_WAIT_MS, Math.max(LEAST_WAIT_MS, mostMs));
+export function watchWaitMs({ recoveryDeadlineMs, changeDeadlineMs }: StoreWatchTerms): number {
+  const dueMs = Math.max(recoveryDeadlineMs, changeDeadlineMs);
+  const maxWaitMs = dueMs - WATCH_RESPONSE_TIMEOUT_MS - BACKOFF_MS[0] - PROPAGATION_MS;
+  return Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, maxWaitMs));
 }
 
 /** A call to the store that failed. */
 export interface FailedStoreCall {
   readonly error: StoreError;
-  /** Time from its beginning to its failure, in milliseconds: tells a call that waited from one refused. */
+  /** Duration of the call, in milliseconds. */
   readonly tookMs: number;
-  /** Failures in a row, this one included. */
+  /** Number of consecutive failures, including this one. */
   readonly failures: number;
 }
 
-/** Where the news of a kind goes. */
+/** Callbacks for the events of a watch. */
 export interface StoreWatchListener {
-  /** Told of all objects after a list. */
+  /** Called with all objects after a list. */
   onList(list: StoreList): void;
-  /** Told of changes. */
+  /** Called with changes. */
   onChanges(changes: StoreChanges): void;
-  /** Told with each answer of the store, also one without a change. */
+  /** Called for each answer of the store, including those without changes. */
   onAnswer(): void;
-  /** Told when changes were missed, so that all is listed anew. */
+  /** Called when the history since the last revision was compacted, before all objects are listed again. */
   onHistoryCompacted(): void;
-  /** Told of each call that failed; after the first the store counts as lost. */
+  /** Called for each failed call; after the first, the store counts as unreachable. */
   onFailed(failed: FailedStoreCall): void;
-  /** Told when the store can be heard again. */
+  /** Called when the store is reachable again. */
   onRecovered(): void;
 }
 
-/** What is watched. */
+/** Options of a store watch. */
 export interface StoreWatchOptions {
   readonly store: Pick<StoreClient, "list" | "watch">;
+  /** Kind of object to watch. */
   readonly kind: string;
-  /** Longest time that a watch waits for a change, in milliseconds. */
+  /** Maximum time for which a watch waits for a change, in milliseconds. */
   readonly waitMs: number;
-  /** Whether the first list may be seconds old; the watch that follows brings it up to date. */
+  /** Whether the first list may be stale; the watch that follows updates it. */
   readonly mayBeStale: boolean;
 }
 
-/** Watches one kind until it is stopped. */
+/** Watches one kind of object until it is stopped. */
 export class StoreWatch {
   readonly #options: StoreWatchOptions;
   readonly #listener: StoreWatchListener;
@@ -126,14 +113,14 @@
   #revision: number | undefined;
   #failures = 0;
   #hasListed = false;
-  #settledAtMs = 0;
-  #isWanted = true;
-  #askedAtMs = 0;
-  #onWanted: () => void = () => undefined;
+  #recoveryEndMs = 0;
+  #isActive = true;
+  #calledAtMs = 0;
+  #wake: () => void = () => undefined;
 
   /**
-   * @param options - What is watched.
-   * @param listener - Where its news goes.
+   * @param options - Options of the watch.
+   * @param listener - Callbacks for events.
    */
   constructor(options: StoreWatchOptions, listener: StoreWatchListener) {
     this.#options = options;
@@ -143,54 +130,54 @@
   /** Watches until `stop()` is called. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      if (!this.#isWanted) {
+      if (!this.#isActive) {
         await new Promise<void>((resolve) => {
-          this.#onWanted = resolve;
+          this.#wake = resolve;
         });
         continue;
       }
-      this.#askedAtMs = nowMs();
-      const pauseMs = this.#revision === undefined ? await this.#list() : await this.#watch();
-      if (pauseMs > 0) {
-        await new Promise((resolve) => setTimeout(resolve, pauseMs));
+      this.#calledAtMs = nowMs();
+      const delayMs = this.#revision === undefined ? await this.#list() : await this.#watch();
+      if (delayMs > 0) {
+        await new Promise((resolve) => setTimeout(resolve, delayMs));
       }
     }
   }
 
-  /** Ends the watch after the call under way. */
+  /** Stops the watch after the call in progress. */
   stop(): void {
     this.#stopped = true;
-    this.#onWanted();
+    this.#wake();
   }
 
-  /** Makes no more calls after the one under way, until it is resumed. */
+  /** Pauses the watch after the call in progress. */
   pause(): void {
-    this.#isWanted = false;
+    this.#isActive = false;
     this.#failures = 0;
   }
 
   /**
-   * Goes on watching.
+   * Resumes the watch.
    *
-   * @param revision - Revision that was reached by other ways meanwhile; 0 for none.
+   * @param revision - Revision that was received from elsewhere meanwhile; 0 for none.
    */
   resume(revision: number): void {
     if (revision > (this.#revision ?? 0)) {
       this.#revision = revision;
     }
-    this.#isWanted = true;
-    this.#onWanted();
+    this.#isActive = true;
+    this.#wake();
   }
 
   async #list(): Promise<number> {
     const { store, kind, mayBeStale } = this.#options;
-    // Only the first list may be old: one after the history was lost must hold what the gap hid.
+    // Only the first list may be stale: after a compaction it must contain the missed changes.
     const list = await store.list(kind, {
       mayBeStale: mayBeStale && !this.#hasListed,
-      answerMs: this.#lookAnswerMs(),
+      answerMs: this.#probeTimeoutMs(),
     });
     if (list.isErr()) {
-      return Math.min(MOST_LIST_PAUSE_MS, this.#fail(list.error));
+      return Math.min(MAX_LIST_DELAY_MS, this.#fail(list.error));
     }
     this.#recover();
     this.#hasListed = true;
@@ -202,11 +189,11 @@
   async #watch(): Promise<number> {
     const { store, kind, waitMs } = this.#options;
     const sinceRevision = this.#revision ?? 0;
-    const patience =
+    const limits =
       this.#failures === 0
         ? { waitMs, answerMs: WATCH_RESPONSE_TIMEOUT_MS }
-        : { waitMs: LOOK_WAIT_MS, answerMs: this.#lookAnswerMs() - LOOK_WAIT_MS };
-    const changes = await store.watch(kind, { sinceRevision, ...patience });
+        : { waitMs: PROBE_WAIT_MS, answerMs: this.#probeTimeoutMs() - PROBE_WAIT_MS };
+    const changes = await store.watch(kind, { sinceRevision, ...limits });
     if (changes.isErr()) {
       if (changes.error.kind === "historyGone") {
         this.#revision = undefined;
@@ -222,25 +209,27 @@
       return 0;
     }
     this.#listener.onChanges(changes.value);
-    return nowMs() < this.#settledAtMs ? SETTLE_GATHER_MS : GATHER_MS;
+    return nowMs() < this.#recoveryEndMs ? RECOVERY_BATCH_DELAY_MS : BATCH_DELAY_MS;
   }
 
-  #lookAnswerMs(): number {
-    return LOOK_ANSWERS_MS[this.#failures % LOOK_ANSWERS_MS.length] ?? STORE_RESPONSE_TIMEOUT_MS;
+  #probeTimeoutMs(): number {
+    return (
+      PROBE_TIMEOUTS_MS[this.#failures % PROBE_TIMEOUTS_MS.length] ?? STORE_RESPONSE_TIMEOUT_MS
+    );
   }
 
   #fail(error: StoreError): number {
     this.#failures += 1;
-    const tookMs = Math.round(nowMs() - this.#askedAtMs);
+    const tookMs = Math.round(nowMs() - this.#calledAtMs);
     this.#listener.onFailed({ error, tookMs, failures: this.#failures });
-    return BACKOFF_MS[Math.min(this.#failures, BACKOFF_MS.length) - 1] ?? GATHER_MS;
+    return BACKOFF_MS[Math.min(this.#failures, BACKOFF_MS.length) - 1] ?? BATCH_DELAY_MS;
   }
 
   #recover(): void {
     this.#listener.onAnswer();
     if (this.#failures > 0) {
       this.#failures = 0;
-      this.#settledAtMs = nowMs() + SETTLE_MS;
+      this.#recoveryEndMs = nowMs() + RECOVERY_MS;
       this.#listener.onRecovered();
     }
   }
--- a/cluster_state/unreadable_entry_test.ts
+++ b/cluster_state/unreadable_entry_test.ts
@@ -1,8 +1,4 @@
-// A leaf's entry was replaced by one that cannot be read, as another writer may do. The box passed the
-// change over and went on sending work by the old entry; a list took the entry for missing and kept the leaf
-// for its time of grace; and peers were told of neither, so that they kept it for good.
-//
-// Such an entry names no leaf to use from then on; all others hold.
+// A leaf whose entry becomes unreadable must no longer be used, on this box and on its peers; other entries are not affected.
 
 import t from "tap";
 import { applyLeafList, EMPTY_LEAF_TABLE } from "../leafs/mod.js";
@@ -13,9 +9,9 @@
 const GRACE_MS = 2_000;
 
 function entry(name: string, revision: number, fields: object = {}): StoreObject {
-  const place = { service: "s", address: "10.0.0.1:80", zone: "a", version: "v1" };
+  const location = { service: "s", address: "10.0.0.1:80", zone: "a", version: "v1" };
   const load = { slots: 2, state: "ready", warmupLeftMs: 0, sequence: 1 };
-  return { name, revision, spec: { ...place, ...load, ...fields } };
+  return { name, revision, spec: { ...location, ...load, ...fields } };
 }
 
 function makeRegistry() {
@@ -30,30 +26,30 @@
   return { registry, lines };
 }
 
-const SPOILED = { slots: "many" };
+const UNREADABLE = { slots: "many" };
 
-t.test("a leaf whose entry changes to one that cannot be read is no longer used", async (t) => {
+t.test("a leaf whose entry becomes unreadable is no longer used", async (t) => {
   const { registry } = makeRegistry();
-  registry.applyChanges({ changed: [entry("a", 11, SPOILED)], removed: [], revision: 11 });
+  registry.applyChanges({ changed: [entry("a", 11, UNREADABLE)], removed: [], revision: 11 });
   t.same([...registry.table.byId.keys()], ["b"]);
-  t.equal(registry.table.expiresAtMs.size, 0, "it has no time to come back");
+  t.equal(registry.table.expiresAtMs.size, 0, "it has no grace time");
 });
 
-t.test("a list with an entry that cannot be read ends that leaf without grace", async (t) => {
+t.test("a list with an unreadable entry removes its leaf without grace time", async (t) => {
   const { registry } = makeRegistry();
-  registry.applyList({ objects: [entry("a", 11, SPOILED), entry("b", 6)], revision: 12 });
+  registry.applyList({ objects: [entry("a", 11, UNREADABLE), entry("b", 6)], revision: 12 });
   t.same([...registry.table.byId.keys()], ["b"]);
 });
 
-t.test("peers hear of an entry that can no longer be read", async (t) => {
+t.test("an unreadable entry is reported to peers as removed", async (t) => {
   const { registry } = makeRegistry();
   const before = registry.table;
-  registry.applyChanges({ changed: [entry("a", 11, SPOILED)], removed: [], revision: 11 });
+  registry.applyChanges({ changed: [entry("a", 11, UNREADABLE)], removed: [], revision: 11 });
   const shared = selectSharedState(
     {
       configuration: undefined,
       leafs: registry.table,
-      news: registry.changeLog,
+      changeLog: registry.changeLog,
       leafsRevision: registry.revision,
       nowMs: 0,
     },
@@ -63,24 +59,24 @@
   t.same([...applySharedState(before, shared, 0).byId.keys()], ["b"]);
 });
 
-t.test("a leaf is used again once its entry can be read again", async (t) => {
+t.test("a leaf is used again once its entry is readable", async (t) => {
   const { registry } = makeRegistry();
-  registry.applyChanges({ changed: [entry("a", 11, SPOILED)], removed: [], revision: 11 });
+  registry.applyChanges({ changed: [entry("a", 11, UNREADABLE)], removed: [], revision: 11 });
   registry.applyChanges({ changed: [entry("a", 12)], removed: [], revision: 12 });
   t.same([...registry.table.byId.keys()].sort(), ["a", "b"]);
 });
 
-t.test("a hundred strange entries of one call share one line of the log", async (t) => {
+t.test("the unreadable entries of one call share one log line", async (t) => {
   const { registry, lines } = makeRegistry();
-  const changed = Array.from({ length: 100 }, (_, index) => entry(`x-${index}`, 11, SPOILED));
+  const changed = Array.from({ length: 100 }, (_, index) => entry(`x-${index}`, 11, UNREADABLE));
   registry.applyChanges({ changed, removed: [], revision: 11 });
-  const passedOver = lines.filter(({ text }) => text.includes("passed over"));
-  t.equal(passedOver.length, 1);
-  t.match(passedOver[0]?.fields, { count: 100 });
-  t.ok(JSON.stringify(passedOver).length < 1_500, "its length is bounded");
+  const ignoredLines = lines.filter(({ text }) => text.includes("passed over"));
+  t.equal(ignoredLines.length, 1);
+  t.match(ignoredLines[0]?.fields, { count: 100 });
+  t.ok(JSON.stringify(ignoredLines).length < 1_500, "the length of the line is bounded");
 });
 
-t.test("an older entry never brings an earlier incarnation of a leaf back", async (t) => {
+t.test("an older entry never restores an earlier incarnation of a leaf", async (t) => {
   const { registry } = makeRegistry();
   registry.applyChanges({ changed: [entry("a", 21, { born: 2 })], removed: [], revision: 21 });
   const earlier = entry("a", 11, { born: 1, state: "draining" });
@@ -88,7 +84,7 @@
   t.match(registry.table.byId.get("a"), { bornAtEpochMs: 2, draining: false });
 });
 
-t.test("a list of what peers know keeps the newer of two entries of one leaf", async (t) => {
+t.test("a list from peers keeps the newer of two entries of a leaf", async (t) => {
   const { registry } = makeRegistry();
   registry.applyChanges({ changed: [entry("a", 21, { born: 2 })], removed: [], revision: 21 });
   const known = [...registry.table.byId.values()];
@@ -98,12 +94,9 @@
   t.match(table.byId.get("a"), { bornAtEpochMs: 2 });
 });
 
-t.test(
-  "a leaf that starts again under its id is told in the log, once for each incarnation",
-  async (t) => {
-    const { registry, lines } = makeRegistry();
-    registry.applyChanges({ changed: [entry("a", 11, { born: 5 })], removed: [], revision: 11 });
-    registry.applyChanges({ changed: [entry("a", 12, { born: 5 })], removed: [], revision: 12 });
-    t.equal(lines.filter(({ text }) => text.includes("started again")).length, 1);
-  },
-);
+t.test("a restart of a leaf under the same id is logged once per incarnation", async (t) => {
+  const { registry, lines } = makeRegistry();
+  registry.applyChanges({ changed: [entry("a", 11, { born: 5 })], removed: [], revision: 11 });
+  registry.applyChanges({ changed: [entry("a", 12, { born: 5 })], removed: [], revision: 12 });
+  t.equal(lines.filter(({ text }) => text.includes("restarted under the same id")).length, 1);
+});
--- a/fault_soak/store_news_test.ts
+++ b/fault_soak/store_news_test.ts
@@ -56,7 +56,7 @@
   await fleet.waitUntilReady();
   fleet.platform.setFaults({ mode: "silent" });
   const lost = (box: PlatformBox): boolean => {
-    return box.process.logTail.some((line) => /"kind":"config".*"store: lost"/.test(line));
+    return box.process.logTail.some((line) => /"kind":"config".*"store: unreachable"/.test(line));
   };
   await until(async () => fleet.boxes.every(lost), "all boxes have lost the store");
   // The next watch has begun: 100 ms after the loss, which is read from a log that is gathered.
