--- a/fleet/_fleet_message_fields.ts
+++ b/fleet/_fleet_message_fields.ts
@@ -1,19 +1,19 @@
 /**
- * What a datagram between boxes must hold, value by value. One of another type would be told on from box to
- * box and end each: a member whose address was a number ended both of two boxes within 5 s.
+ * Validation of the datagrams between boxes. An invalid value would otherwise spread from box to box and crash each of
+ * them.
  *
- * Checked by hand: a box of a large fleet reads 205 datagrams as it starts, and schemas added 87 ms of processor time to
- * that, these checks 8 (means of five cold processes).
+ * The checks are written by hand, as a box of a large fleet reads hundreds of datagrams while it starts, for which
+ * a schema library is too slow.
  *
  * @module
  */
 import { isIPv4 } from "node:net";
 import type { MemberState } from "../model/mod.js";
 
-/** What a datagram is for. */
+/** Kind of a datagram: a request, the response to one, or an unsolicited update. */
 export type FleetMessageKind = "ask" | "answer" | "news";
 
-/** A member, its values in the order in which they are written. */
+/** A member, with its values in the order on the wire. */
 export type MemberFields = readonly [
   memberId: string,
   incarnation: string,
@@ -27,7 +27,7 @@
   processorCores: number,
 ];
 
-/** A query under which leafs were lost. */
+/** A crash-inducing query, with its values in the order on the wire. */
 export type CrashFields = readonly [
   fingerprint: string,
   standing: string,
@@ -37,19 +37,19 @@
   changedAgoMs: number,
 ];
 
-/** Data centres that are emptied. */
+/** Evacuated data centres, with their values in the order on the wire. */
 export type EvacuationFields = readonly [position: number, dataCentres: ReadonlyArray<string>];
 
-/** A datagram. */
+/** A datagram, with its values in the order on the wire. */
 export type MessageFields = readonly [
   kind: FleetMessageKind,
   number: number,
   configurationVersion: number,
   leafsRevision: number,
   members: ReadonlyArray<MemberFields>,
-  /** Left out where there are none, and no evacuations. */
+  /** Omitted if there are neither crashes nor evacuations. */
   crashes?: ReadonlyArray<CrashFields>,
-  /** Left out where none ever was. */
+  /** Omitted if no data centre was ever evacuated. */
   evacuations?: EvacuationFields,
 ];
 
@@ -63,38 +63,45 @@
   "leaving",
   "dead",
 ]);
-const MOST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-const isText: Check = (value) => typeof value === "string";
+const isString: Check = (value) => typeof value === "string";
 const isNumber: Check = (value) => Number.isFinite(value);
 const isAddress: Check = (value) => typeof value === "string" && isIPv4(value);
 const isPort: Check = (value) => {
-  return Number.isInteger(value) && Number(value) > 0 && Number(value) <= MOST_PORT;
+  return Number.isInteger(value) && Number(value) > 0 && Number(value) <= MAX_PORT;
 };
 
-/** A check for each value, in the order of the type's. */
+/** A check for each value, in the same order. */
 type Checks<Fields extends ReadonlyArray<unknown>> = {
   readonly [Index in keyof Fields]: Check;
 };
 
 const MEMBER_CHECKS: Checks<MemberFields> = [
-  isText,
-  isText,
+  isString,
+  isString,
   isNumber,
   isNumber,
   (value) => STATES.has(value),
-  isText,
+  isString,
   isAddress,
   isPort,
   isPort,
   isNumber,
 ];
 
-const CRASH_CHECKS: Checks<CrashFields> = [isText, isText, isNumber, isNumber, isNumber, isNumber];
+const CRASH_CHECKS: Checks<CrashFields> = [
+  isString,
+  isString,
+  isNumber,
+  isNumber,
+  isNumber,
+  isNumber,
+];
 
 const EVACUATION_CHECKS: Checks<EvacuationFields> = [
   isNumber,
-  (value) => Array.isArray(value) && value.every(isText),
+  (value) => Array.isArray(value) && value.every(isString),
 ];
 
 const MESSAGE_CHECKS: Checks<Required<MessageFields>> = [
@@ -104,23 +111,23 @@
   isNumber,
   (value) => isListOf(value, MEMBER_CHECKS),
   (value) => value === undefined || isListOf(value, CRASH_CHECKS),
-  (value) => value === undefined || fits(value, EVACUATION_CHECKS),
+  (value) => value === undefined || matches(value, EVACUATION_CHECKS),
 ];
 
 /**
- * Tells whether data is a datagram's content.
+ * Reports whether data is the content of a datagram.
  *
- * @param data - What was read.
- * @returns Whether each value is what it should be; values beyond those known are passed over.
+ * @param data - Parsed data.
+ * @returns Whether each value is valid; additional values are ignored.
  */
 export function isMessageFields(data: unknown): data is MessageFields {
-  return fits(data, MESSAGE_CHECKS);
+  return matches(data, MESSAGE_CHECKS);
 }
 
 function isListOf(data: unknown, checks: ReadonlyArray<Check>): boolean {
-  return Array.isArray(data) && data.every((each) => fits(each, checks));
+  return Array.isArray(data) && data.every((item) => matches(item, checks));
 }
 
-function fits(data: unknown, checks: ReadonlyArray<Check>): boolean {
+function matches(data: unknown, checks: ReadonlyArray<Check>): boolean {
   return Array.isArray(data) && checks.every((check, index) => check(data[index]));
 }
--- a/fleet/fleet_link.ts
+++ b/fleet/fleet_link.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the membership table by datagrams between boxes: each box asks one other in turn, answers
- * those who ask, and tells all at once when it is about to stop.
+ * Maintains the membership table by gossip over UDP: each box sends a request to one other box per interval, answers
+ * requests, and notifies all boxes immediately before it stops.
  *
  * @module
  */
@@ -25,59 +25,57 @@
   type SyncProgress,
 } from "./fleet_messages.js";
 
-/** Time between two questions to other boxes, in milliseconds. */
-const ASK_EVERY_MS = 1_000;
+/** Interval between requests to other boxes, in milliseconds. */
+const REQUEST_INTERVAL_MS = 1_000;
 
-/** Time that an asked box has for its answer, in milliseconds; the far region is 25 ms away. */
-const ANSWER_MS = 300;
+/** Time after which an unanswered request is repeated, in milliseconds. */
+const ANSWER_TIMEOUT_MS = 300;
 
-/**
- * Share of the questions that go to a box of the own region: bytes between regions have a price, and
- * a third of the questions to all carries news as far as it must go.
- */
-const NEAR_SHARE = 0.67;
+/** Share of the requests that go to a box in this region, as traffic between regions is charged. */
+const LOCAL_SHARE = 0.67;
 
-/** What the link needs of its box. */
+/** Options of a fleet link. */
 export interface FleetLinkOptions {
   readonly self: Member;
-  /** Tells where to ask before any other box is known. */
+  /** Returns the addresses to contact while no other box is known. */
   readonly seeds: () => ReadonlyArray<string>;
-  /** Port of the datagrams on every box. */
+  /** UDP port, the same on every box. */
   readonly port: number;
-  /** Tells whether a box is in this one's region. */
+  /** Returns whether a box is in this box's region. */
   readonly isLocal: (member: Member) => boolean;
   readonly nowMs: () => number;
   readonly progress: () => SyncProgress;
-  /** Gives queries under which leafs were lost, no more than go into a datagram. */
+  /** Returns the crash-inducing queries to report, at most as many as fit into a datagram. */
   readonly crashes: () => ReadonlyArray<ReportedCrashes>;
-  /** Told of such queries by another box. */
-  readonly onCrashes: (told: ReadonlyArray<ReportedCrashes>, sender: Member | undefined) => void;
-  /** Gives the data centres that are emptied; nothing where none ever was. */
+  /** Called with the crash-inducing queries that another box reports. */
+  readonly onCrashes: (crashes: ReadonlyArray<ReportedCrashes>, sender: Member | undefined) => void;
+  /** Returns the evacuated data centres; undefined if none was ever evacuated. */
   readonly evacuations: () => EvacuationUpdate | undefined;
-  /** Told of these by another box. */
-  readonly onEvacuations: (news: EvacuationUpdate, sender: Member | undefined) => void;
-  /** Told how far another box is. */
+  /** Called with the evacuations that another box reports. */
+  readonly onEvacuations: (update: EvacuationUpdate, sender: Member | undefined) => void;
+  /** Called with the versions of stored data that another box has. */
   readonly onProgress: (member: Member, progress: SyncProgress) => void;
-  /** Told when a member's state changes, as this box believes it. */
+  /** Called when the state of a member changes in this box's view. */
   readonly onMemberChange: (member: Member) => void;
   readonly onError: (message: string) => void;
 }
 
-/** The link to the other boxes. */
+/** Link of one box to the other boxes of the fleet. */
 export class FleetLink {
   readonly #options: FleetLinkOptions;
   readonly #socket: Socket;
   #membership: Membership;
-  #number = 0;
-  #asked: { readonly number: number; readonly memberId: string } | undefined;
+  #lastNumber = 0;
+  /** The request that has not been answered yet. */
+  #pending: { readonly number: number; readonly memberId: string } | undefined;
   #timer: NodeJS.Timeout | undefined;
   #isStopped = false;
-  /** When another box was last heard. */
-  #heardAtMs = Number.NEGATIVE_INFINITY;
-  #askAgainTimer: NodeJS.Timeout | undefined;
+  /** Time of the last datagram from another box. */
+  #lastContactAtMs = Number.NEGATIVE_INFINITY;
+  #retryTimer: NodeJS.Timeout | undefined;
 
   /**
-   * @param options - What the link needs of its box.
+   * @param options - Options of the link.
    */
   constructor(options: FleetLinkOptions) {
     this.#options = options;
@@ -85,38 +83,40 @@
     this.#socket = createSocket("udp4");
   }
 
-  /** Opens the socket and begins to ask. */
+  /** Opens the socket and starts sending requests. */
   async start(): Promise<void> {
-    const { port, self, onError: onFault } = this.#options;
+    const { port, self, onError } = this.#options;
     this.#socket.on("message", (data, { address }) => this.#receive(data, address));
-    this.#socket.on("error", (error) => onFault(error.message));
+    this.#socket.on("error", (error) => onError(error.message));
     await new Promise<void>((resolve) => this.#socket.bind(port, self.address, resolve));
-    this.#timer = setInterval(() => this.#askNext(), ASK_EVERY_MS);
+    this.#timer = setInterval(() => this.#requestNext(), REQUEST_INTERVAL_MS);
     for (const seed of this.#options.seeds()) {
-      this.#ask(seed);
+      this.#sendRequest(seed);
     }
   }
 
-  /** Boxes that can be given work, this one included if it can. */
+  /** Returns the boxes that accept work, including this one if it does. */
   alive(): ReadonlyArray<Member> {
     return aliveMembers(this.#membership, "entry");
   }
 
-  /** All boxes heard of, this one included. */
+  /** Returns all known boxes, including this one. */
   members(): ReadonlyArray<Member> {
     const others = [...this.#membership.records.values()].map(({ member }) => member);
     return [this.#membership.self, ...others];
   }
 
-  /** Time for which no other box was heard, in milliseconds; 0 where none was ever heard. */
+  /** Time since the last contact with another box, in milliseconds; 0 if there has been none. */
   get sinceLastContactMs(): number {
-    return Number.isFinite(this.#heardAtMs) ? this.#options.nowMs() - this.#heardAtMs : 0;
+    return Number.isFinite(this.#lastContactAtMs)
+      ? this.#options.nowMs() - this.#lastContactAtMs
+      : 0;
   }
 
   /**
-   * Changes this box's own state and tells all others at once.
+   * Changes the state of this box and notifies all other boxes immediately.
    *
-   * @param state - The new state.
+   * @param state - New state.
    */
   announceState(state: MemberState): void {
     const { self, records } = this.#membership;
@@ -125,9 +125,9 @@
   }
 
   /**
-   * Tells boxes how far this one is, without a question.
+   * Sends the current state of this box to other boxes, without expecting an answer.
    *
-   * @param members - The boxes.
+   * @param members - Boxes to notify.
    */
   sendUpdate(members: ReadonlyArray<Member>): void {
     const { port } = this.#options;
@@ -135,65 +135,70 @@
     if (this.#isStopped) {
       return;
     }
-    const data = encodeFleetMessage({ kind: "news", number: 0, members: [self], ...this.#known() });
+    const data = encodeFleetMessage({
+      kind: "news",
+      number: 0,
+      members: [self],
+      ...this.#payload(),
+    });
     for (const { address } of members) {
       this.#socket.send(data, port, address);
     }
   }
 
   /**
-   * Asks boxes at once what they know: after a suspension this one's own knowledge is old.
+   * Requests the current state of other boxes immediately, as this box's own may be outdated after a suspension.
    *
-   * @param members - The boxes.
+   * @param members - Boxes to contact.
    */
   requestUpdates(members: ReadonlyArray<Member>): void {
     for (const { address } of members) {
-      this.#ask(address);
+      this.#sendRequest(address);
     }
   }
 
-  /** Ends the link. */
+  /** Stops the link and closes the socket. */
   stop(): void {
     clearInterval(this.#timer);
-    clearTimeout(this.#askAgainTimer);
+    clearTimeout(this.#retryTimer);
     this.#isStopped = true;
     this.#socket.close();
   }
 
-  #askNext(): void {
+  #requestNext(): void {
     const { nowMs, seeds } = this.#options;
     const before = this.#membership;
-    const silent = this.#asked;
-    if (silent !== undefined) {
-      this.#membership = suspectMember(this.#membership, silent.memberId, { nowMs: nowMs() });
-      this.#asked = undefined;
+    const unanswered = this.#pending;
+    if (unanswered !== undefined) {
+      this.#membership = suspectMember(this.#membership, unanswered.memberId, { nowMs: nowMs() });
+      this.#pending = undefined;
     }
     this.#membership = expireMembers(this.#membership, { nowMs: nowMs() });
-    this.#tellChanges(before);
+    this.#reportChanges(before);
     const candidates = [...this.#membership.records.values()]
       .map(({ member }) => member)
       .filter(({ state }) => state !== "dead");
-    const near = candidates.filter((member) => this.#options.isLocal(member));
-    const asked = near.length > 0 && Math.random() < NEAR_SHARE ? near : candidates;
-    const chosen = asked[pick(asked.length)];
-    if (chosen === undefined) {
+    const local = candidates.filter((member) => this.#options.isLocal(member));
+    const eligible = local.length > 0 && Math.random() < LOCAL_SHARE ? local : candidates;
+    const target = eligible[randomInt(eligible.length)];
+    if (target === undefined) {
       for (const seed of seeds()) {
-        this.#ask(seed);
+        this.#sendRequest(seed);
       }
       return;
     }
-    const number = this.#ask(chosen.address);
-    this.#askAgainTimer = setTimeout(() => {
-      const late = this.#asked?.number === number ? this.#asked : undefined;
-      if (late !== undefined) {
-        this.#ask(chosen.address, { number: late.number });
+    const number = this.#sendRequest(target.address);
+    this.#retryTimer = setTimeout(() => {
+      const pending = this.#pending?.number === number ? this.#pending : undefined;
+      if (pending !== undefined) {
+        this.#sendRequest(target.address, { number: pending.number });
       }
-    }, ANSWER_MS);
-    this.#asked = { number, memberId: chosen.memberId };
+    }, ANSWER_TIMEOUT_MS);
+    this.#pending = { number, memberId: target.memberId };
   }
 
-  /** Tells of members whose state this box has changed by itself. */
-  #tellChanges(before: Membership): void {
+  /** Reports members whose state this box has changed by a timeout. */
+  #reportChanges(before: Membership): void {
     if (before.records === this.#membership.records) {
       return;
     }
@@ -204,25 +209,25 @@
     }
   }
 
-  #ask(address: string, { number }: { readonly number?: number } = {}): number {
+  #sendRequest(address: string, { number }: { readonly number?: number } = {}): number {
     if (number === undefined) {
-      this.#number += 1;
+      this.#lastNumber += 1;
     }
-    const asked = number ?? this.#number;
-    this.#send("ask", asked, address);
-    return asked;
+    const sentNumber = number ?? this.#lastNumber;
+    this.#send("ask", sentNumber, address);
+    return sentNumber;
   }
 
   #send(kind: FleetMessageKind, number: number, address: string): void {
-    const { membership, piggybackMembers: riders } = selectPiggybackMembers(this.#membership, pick);
+    const { membership, piggybackMembers } = selectPiggybackMembers(this.#membership, randomInt);
     this.#membership = membership;
-    const members = [membership.self, ...riders];
-    const message = { kind, number, members, ...this.#known() };
+    const members = [membership.self, ...piggybackMembers];
+    const message = { kind, number, members, ...this.#payload() };
     this.#socket.send(encodeFleetMessage(message), this.#options.port, address);
   }
 
-  /** What each datagram tells besides members. */
-  #known(): Pick<FleetMessage, "crashes" | "evacuations" | "progress"> {
+  /** Content of each datagram besides members. */
+  #payload(): Pick<FleetMessage, "crashes" | "evacuations" | "progress"> {
     const { crashes, evacuations, progress } = this.#options;
     return { crashes: crashes(), evacuations: evacuations(), progress: progress() };
   }
@@ -230,14 +235,14 @@
   #receive(data: Buffer, address: string): void {
     const message = decodeFleetMessage(data);
     if (message === undefined) {
-      this.#options.onError(`Cannot read a datagram from "${address}"`);
+      this.#options.onError(`Cannot decode datagram from "${address}"`);
       return;
     }
-    const { nowMs, onMemberChange: onMember, onProgress } = this.#options;
-    this.#heardAtMs = nowMs();
-    const heard = mergeMembers(this.#membership, message.members, { nowMs: nowMs() });
-    this.#membership = heard.membership;
-    heard.changed.forEach(onMember);
+    const { nowMs, onMemberChange, onProgress } = this.#options;
+    this.#lastContactAtMs = nowMs();
+    const merged = mergeMembers(this.#membership, message.members, { nowMs: nowMs() });
+    this.#membership = merged.membership;
+    merged.changed.forEach(onMemberChange);
     const sender = message.members[0];
     if (message.crashes.length > 0) {
       this.#options.onCrashes(message.crashes, sender);
@@ -247,9 +252,9 @@
     }
     if (message.kind === "ask") {
       this.#send("answer", message.number, address);
-    } else if (message.number === this.#asked?.number) {
-      this.#asked = undefined;
-      clearTimeout(this.#askAgainTimer);
+    } else if (message.number === this.#pending?.number) {
+      this.#pending = undefined;
+      clearTimeout(this.#retryTimer);
     }
     if (sender !== undefined) {
       onProgress(sender, message.progress);
@@ -257,6 +262,6 @@
   }
 }
 
-function pick(count: number): number {
+function randomInt(count: number): number {
   return Math.floor(Math.random() * count);
 }
--- a/fleet/fleet_messages.ts
+++ b/fleet/fleet_messages.ts
@@ -1,7 +1,6 @@
 /**
- * The datagrams that boxes exchange: who is there, and how far the sender is with what lasts in the
- * store. Lists in place of named fields, deflated: each box sends some every second, and most of them
- * pass between regions.
+ * Datagrams that boxes exchange: known members, and the versions of stored data that the sender has. They are
+ * deflated lists without field names, to save traffic between regions.
  *
  * @module
  */
@@ -15,11 +14,11 @@
   type MemberFields,
 } from "./_fleet_message_fields.js";
 
-/** How far a box is with what lasts in the store. */
+/** Versions of the stored data that a box has applied. */
 export interface SyncProgress {
-  /** Version of the configuration in force; 0 before the first. */
+  /** Version of the active configuration; 0 before the first. */
   readonly configurationVersion: number;
-  /** Revision of the store up to which it knows the leafs' entries; 0 before the first. */
+  /** Store revision up to which the leafs' entries are applied; 0 before the first list. */
   readonly leafsRevision: number;
 }
 
@@ -28,53 +27,48 @@
 /** One datagram. */
 export interface FleetMessage {
   readonly kind: FleetMessageKind;
-  /** Number of the question, so that an answer can be told from a late one. */
+  /** Number of the request, by which an answer is matched to it. */
   readonly number: number;
   readonly progress: SyncProgress;
-  /** The sender first, then others that it tells of. */
+  /** The sender, followed by other members that it reports. */
   readonly members: ReadonlyArray<Member>;
-  /** Queries under which leafs were lost. */
+  /** Crash-inducing queries. */
   readonly crashes: ReadonlyArray<ReportedCrashes>;
-  /** Data centres that are emptied; nothing where none ever was. */
+  /** Evacuated data centres; undefined if none was ever evacuated. */
   readonly evacuations?: EvacuationUpdate | undefined;
 }
 
-/** Largest datagram taken, inflated, in bytes. */
+/** Maximum size of an inflated datagram, in bytes. */
 const MAX_MESSAGE_BYTES = 65_536;
 
-/**
- * How datagrams are deflated. A whole one has some 1,600 bytes, so that a window of 4 KB holds it: the
- * usual memory of a quarter of a megabyte a call was most of what a box that stands by gave the garbage
- * collector. One datagram of 15 members is written in 16 µs, with the usual options in 58, at the same
- * length (269 and 270 bytes; mean of 3,000, one core).
- */
+/** Small buffers: a datagram fits into a window of 4 KB, and the default memory per call is far larger. */
 const DEFLATE = { windowBits: 12, memLevel: 4, chunkSize: 4_096, level: 1 } as const;
 
-/** How datagrams are inflated: 14 µs each, with the usual options 32. */
 const INFLATE = { windowBits: 12, chunkSize: 4_096, maxOutputLength: MAX_MESSAGE_BYTES } as const;
 
 /**
- * Writes a datagram.
+ * Encodes a datagram.
  *
- * @param message - What it says.
- * @returns Its bytes.
+ * @param message - Message to encode.
+ * @returns The encoded bytes.
  */
 export function encodeFleetMessage(message: FleetMessage): Buffer {
   const { kind, number, progress, members, crashes, evacuations } = message;
   const { configurationVersion, leafsRevision } = progress;
-  const listed = members.map(toFields);
-  const emptied = evacuations && [evacuations.position, evacuations.dataCentres];
-  const told = crashes.length === 0 && emptied === undefined ? [] : [crashes.map(toCrashFields)];
-  const rest = emptied === undefined ? told : [...told, emptied];
-  const fields = [kind, number, configurationVersion, leafsRevision, listed, ...rest];
+  const memberFields = members.map(toMemberFields);
+  const evacuated = evacuations && [evacuations.position, evacuations.dataCentres];
+  const crashList =
+    crashes.length === 0 && evacuated === undefined ? [] : [crashes.map(toCrashFields)];
+  const optional = evacuated === undefined ? crashList : [...crashList, evacuated];
+  const fields = [kind, number, configurationVersion, leafsRevision, memberFields, ...optional];
   return deflateRawSync(JSON.stringify(fields), DEFLATE);
 }
 
 /**
- * Reads a datagram.
+ * Decodes a datagram.
  *
- * @param data - Its bytes.
- * @returns What it says, or nothing where it is no message.
+ * @param data - Received bytes.
+ * @returns The message, or undefined if the bytes are not a valid one.
  */
 export function decodeFleetMessage(data: Buffer): FleetMessage | undefined {
   try {
@@ -83,41 +77,56 @@
     if (!isMessageFields(fields)) {
       return undefined;
     }
-    const [kind, number, configurationVersion, leafsRevision, listed, told = [], emptied] = fields;
+    const [
+      kind,
+      number,
+      configurationVersion,
+      leafsRevision,
+      memberFields,
+      crashList = [],
+      evacuated,
+    ] = fields;
     const progress = { configurationVersion, leafsRevision };
-    const crashes = told.flatMap(fromCrashFields);
-    const evacuations = emptied && { position: emptied[0], dataCentres: emptied[1] };
-    return { kind, number, progress, members: listed.map(fromFields), crashes, evacuations };
+    const crashes = crashList.flatMap(fromCrashFields);
+    const evacuations = evacuated && { position: evacuated[0], dataCentres: evacuated[1] };
+    return {
+      kind,
+      number,
+      progress,
+      members: memberFields.map(fromMemberFields),
+      crashes,
+      evacuations,
+    };
   } catch {
     return undefined;
   }
 }
 
-function toCrashFields(told: ReportedCrashes): CrashFields {
-  const { fingerprint, standing, lostLeafs, lostTrials, suspectedAgoMs, changedAgoMs } = told;
+function toCrashFields(crashes: ReportedCrashes): CrashFields {
+  const { fingerprint, standing, lostLeafs, lostTrials, suspectedAgoMs, changedAgoMs } = crashes;
   const agesMs = [Math.round(suspectedAgoMs), Math.round(changedAgoMs)] as const;
   return [fingerprint, standing, lostLeafs, lostTrials, ...agesMs];
 }
 
-/** A standing that this version does not know is passed over. */
+/** Skips a query whose status is unknown to this version. */
 function fromCrashFields(fields: CrashFields): ReadonlyArray<ReportedCrashes> {
   const [fingerprint, standing, lostLeafs, lostTrials, suspectedAgoMs, changedAgoMs] = fields;
-  return isStanding(standing)
+  return isCrashStatus(standing)
     ? [{ fingerprint, standing, lostLeafs, lostTrials, suspectedAgoMs, changedAgoMs }]
     : [];
 }
 
-const STANDINGS: ReadonlySet<string> = new Set<CrashStatus>([
+const CRASH_STATUSES: ReadonlySet<string> = new Set<CrashStatus>([
   "suspected",
   "quarantined",
   "cleared",
 ]);
 
-function isStanding(text: string): text is CrashStatus {
-  return STANDINGS.has(text);
+function isCrashStatus(text: string): text is CrashStatus {
+  return CRASH_STATUSES.has(text);
 }
 
-function toFields(member: Member): MemberFields {
+function toMemberFields(member: Member): MemberFields {
   return [
     member.memberId,
     member.incarnation,
@@ -132,11 +141,12 @@
   ];
 }
 
-/** On the users' platform a box has one daemon, named as the box, that faces callers. */
-function fromFields(fields: MemberFields): Member {
-  const [memberId, incarnation, startedAtEpochMs, version, state, dataCentre, ...rest] = fields;
-  const [address, peerPort, callerPort, processorCores] = rest;
-  const place = {
+/** Each box runs one daemon, which has the name of the box and serves callers. */
+function fromMemberFields(fields: MemberFields): Member {
+  const [memberId, incarnation, startedAtEpochMs, version, state, dataCentre, ...addressFields] =
+    fields;
+  const [address, peerPort, callerPort, processorCores] = addressFields;
+  const location = {
     role: "entry",
     box: memberId,
     dataCentre,
@@ -144,6 +154,6 @@
     peerPort,
     callerPort,
   } as const;
-  const member: Member = { memberId, incarnation, startedAtEpochMs, version, state, ...place };
+  const member: Member = { memberId, incarnation, startedAtEpochMs, version, state, ...location };
   return processorCores > 0 ? { ...member, processorCores } : member;
 }
--- a/fleet/fleet_messages_fuzz_test.ts
+++ b/fleet/fleet_messages_fuzz_test.ts
@@ -19,43 +19,40 @@
 const CRASHES = ["f_1", "suspected", 2, 0, 100, 50];
 const MESSAGE = ["ask", 7, 12, 345, [MEMBER], [CRASHES]];
 
-const SPOILT = spoiltValue(MESSAGE, 40);
+const CORRUPTED_MESSAGES = spoiltValue(MESSAGE, 40);
 
-function isWhole({ crashes, members, number, progress }: FleetMessage): boolean {
+function isValid({ crashes, members, number, progress }: FleetMessage): boolean {
   const numbers = [number, progress.configurationVersion, progress.leafsRevision];
-  const told = crashes.flatMap(({ changedAgoMs, fingerprint, lostLeafs, ...rest }) => {
-    numbers.push(changedAgoMs, lostLeafs, rest.lostTrials, rest.suspectedAgoMs);
-    return [fingerprint, rest.standing];
+  const crashTexts = crashes.flatMap(({ changedAgoMs, fingerprint, lostLeafs, ...others }) => {
+    numbers.push(changedAgoMs, lostLeafs, others.lostTrials, others.suspectedAgoMs);
+    return [fingerprint, others.standing];
   });
-  const texts = members.flatMap(({ address, memberId, incarnation, ...rest }) => {
-    numbers.push(rest.startedAtEpochMs, rest.version, rest.peerPort, rest.callerPort);
-    return [address, memberId, incarnation, rest.state, rest.dataCentre];
+  const memberTexts = members.flatMap(({ address, memberId, incarnation, ...others }) => {
+    numbers.push(others.startedAtEpochMs, others.version, others.peerPort, others.callerPort);
+    return [address, memberId, incarnation, others.state, others.dataCentre];
   });
-  const areTexts = [...texts, ...told].every((each) => typeof each === "string");
-  return areTexts && numbers.every((each) => Number.isFinite(each));
+  const areStrings = [...memberTexts, ...crashTexts].every((each) => typeof each === "string");
+  return areStrings && numbers.every((each) => Number.isFinite(each));
 }
 
-t.test(
-  "decodeFleetMessage() gives a message whose fields are all what they should be, or none",
-  async (t) => {
-    fc.assert(
-      fc.property(SPOILT, (data) => {
-        const message = decodeFleetMessage(deflateRawSync(JSON.stringify(data)));
-        return message === undefined || isWhole(message);
-      }),
-      { numRuns: 3_000, seed: 29 },
-    );
-    t.pass("no message of other types came through");
-  },
-);
+t.test("decodeFleetMessage() returns a message with valid fields, or undefined", async (t) => {
+  fc.assert(
+    fc.property(CORRUPTED_MESSAGES, (data) => {
+      const message = decodeFleetMessage(deflateRawSync(JSON.stringify(data)));
+      return message === undefined || isValid(message);
+    }),
+    { numRuns: 3_000, seed: 29 },
+  );
+  t.pass("no message with an invalid field was accepted");
+});
 
-t.test("decodeFleetMessage() survives any bytes", async (t) => {
+t.test("decodeFleetMessage() does not throw on arbitrary bytes", async (t) => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 300 }), (bytes) => {
       const message = decodeFleetMessage(Buffer.from(bytes));
-      return message === undefined || isWhole(message);
+      return message === undefined || isValid(message);
     }),
     { numRuns: 3_000, seed: 29 },
   );
-  t.pass("no bytes broke it");
+  t.pass("no bytes made it throw");
 });
--- a/fleet/fleet_messages_test.ts
+++ b/fleet/fleet_messages_test.ts
@@ -29,32 +29,29 @@
   crashes: [],
 };
 
-t.test("decodeFleetMessage() reads what encodeFleetMessage() wrote", async (t) => {
+t.test("decodeFleetMessage() decodes the output of encodeFleetMessage()", async (t) => {
   t.same(decodeFleetMessage(encodeFleetMessage(MESSAGE)), MESSAGE);
 });
 
-t.test(
-  "queries under which leafs were lost are told with ages in whole milliseconds",
-  async (t) => {
-    const lost = { lostLeafs: 4, lostTrials: 2, suspectedAgoMs: 812.4, changedAgoMs: 3.6 };
-    const crashes = [{ fingerprint: "f_1", standing: "quarantined", ...lost } as const];
-    const read = decodeFleetMessage(encodeFleetMessage({ ...MESSAGE, crashes }));
-    t.same(read?.crashes, [{ ...crashes[0], suspectedAgoMs: 812, changedAgoMs: 4 }]);
-  },
-);
+t.test("ages of crash-inducing queries are rounded to milliseconds", async (t) => {
+  const counts = { lostLeafs: 4, lostTrials: 2, suspectedAgoMs: 812.4, changedAgoMs: 3.6 };
+  const crashes = [{ fingerprint: "f_1", standing: "quarantined", ...counts } as const];
+  const decoded = decodeFleetMessage(encodeFleetMessage({ ...MESSAGE, crashes }));
+  t.same(decoded?.crashes, [{ ...crashes[0], suspectedAgoMs: 812, changedAgoMs: 4 }]);
+});
 
-t.test("a standing that is not known is passed over", async (t) => {
-  const told = [["f", "someday", 1, 1, 1, 1]];
-  const data = deflateRawSync(JSON.stringify(["ask", 1, 1, 1, [], told]));
+t.test("decodeFleetMessage() ignores a crash with an unknown status", async (t) => {
+  const crashes = [["f", "someday", 1, 1, 1, 1]];
+  const data = deflateRawSync(JSON.stringify(["ask", 1, 1, 1, [], crashes]));
   t.same(decodeFleetMessage(data)?.crashes, []);
 });
 
-t.test("a message of a box that knows of no such queries is read", async (t) => {
+t.test("decodeFleetMessage() accepts a message without crashes", async (t) => {
   const data = deflateRawSync(JSON.stringify(["ask", 1, 1, 1, []]));
   t.same(decodeFleetMessage(data)?.crashes, []);
 });
 
-t.test("a message with many members stays small", async (t) => {
+t.test("a message with many members is small", async (t) => {
   const members = Array.from({ length: 15 }, (_, index) => {
     const name = `box-${index}`;
     const incarnation = (index * 7919 * 104729).toString(16).padStart(12, "0");
@@ -63,15 +60,15 @@
   t.ok(encodeFleetMessage({ ...MESSAGE, members }).length < 700);
 });
 
-t.test("decodeFleetMessage() turns away what is no message", async (t) => {
-  const noMessages = ["", "{}", "[]", "null", "[1,2,3]"].map((text) => deflateRawSync(text));
+t.test("decodeFleetMessage() rejects data that is not a message", async (t) => {
+  const invalidMessages = ["", "{}", "[]", "null", "[1,2,3]"].map((text) => deflateRawSync(text));
   const tooLong = deflateRawSync(`["ask",1,1,1,[]${" ".repeat(70_000)}]`);
-  for (const data of [Buffer.from("garbage"), Buffer.alloc(0), tooLong, ...noMessages]) {
+  for (const data of [Buffer.from("garbage"), Buffer.alloc(0), tooLong, ...invalidMessages]) {
     t.equal(decodeFleetMessage(data), undefined);
   }
 });
 
-t.test("bytes that are no message are turned away, never thrown at", async () => {
+t.test("decodeFleetMessage() never throws on invalid bytes or JSON", async () => {
   const json = fc.json().map((text) => deflateRawSync(text));
   const bytes = fc.uint8Array({ maxLength: 400 }).map((data) => Buffer.from(data));
   fc.assert(
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -1,6 +1,6 @@
 /**
- * What a box concludes from the boxes it knows: who serves, who watches the store, who is told, and
- * its share of a leaf's connections.
+ * Decisions that a box derives from the boxes it knows: which of them serve, watch the store and receive updates, and
+ * its own share of limits that all boxes share.
  *
  * @module
  */
@@ -9,182 +9,181 @@
 import { servingBoxes } from "./serving_boxes.js";
 import { storeWatchers } from "./store_watchers.js";
 
-/** Most connections of one box to a leaf; more than this are never needed at its few slots. */
-const MOST_CONNECTIONS = 8;
+/** Maximum number of connections of one box to a leaf. */
+const MAX_CONNECTIONS = 8;
 
 /**
- * Part of what all boxes may spend that is shared by those that serve; the rest by all, for requests that
- * reach one that stands by. Shared by all 195 boxes of a fleet, of which 18 serve, nine in ten of the
- * extra calls allowed lay where no request comes in: a serving box had 1 in ten seconds and a shard.
+ * Share of the slack that the serving boxes divide among themselves. All boxes divide the remainder, for requests that
+ * reach a box on standby.
  */
-const SERVING_PART = 0.72;
+const SERVING_SHARE = 0.72;
 
-/** What the view is made from. */
+/** Options of a fleet view. */
 export interface FleetViewOptions {
   readonly settings: () => Pick<
     BoxSettings,
     "box" | "dataCentre" | "regions" | "seeds" | "recoveryDeadlineMs"
   >;
-  /** All boxes heard of, this one included. */
+  /** Returns all known boxes, including this one. */
   readonly members: () => ReadonlyArray<Member>;
-  /** Boxes that can be given work, this one included if it can. */
+  /** Returns the boxes that accept work, including this one if it does. */
   readonly alive: () => ReadonlyArray<Member>;
-  /** Time for which no other box was heard, in milliseconds. */
+  /** Returns the time since the last contact with another box, in milliseconds. */
   readonly sinceLastContactMs: () => number;
 }
 
-/** The fleet as one box sees it. */
+/** One box's view of the fleet. Results are cached until a box changes. */
 export class FleetView {
   readonly #options: FleetViewOptions;
   readonly #serving = new Map<string, ReadonlyArray<Member>>();
-  readonly #callersOfCold = new Map<string, ReadonlyArray<string>>();
+  readonly #coldLeafCallers = new Map<string, ReadonlyArray<string>>();
   #watchesStore: boolean | undefined;
 
   /**
-   * @param options - What the view is made from.
+   * @param options - Options of the view.
    */
   constructor(options: FleetViewOptions) {
     this.#options = options;
   }
 
-  /** Says that a box has changed, so that conclusions are drawn anew. */
+  /** Discards cached results after a box has changed. */
   invalidate(): void {
     this.#serving.clear();
-    this.#callersOfCold.clear();
+    this.#coldLeafCallers.clear();
     this.#watchesStore = undefined;
   }
 
-  /** Boxes that share what is shared over all of them; no fewer than the settings name. */
+  /** Returns the number of boxes that divide shared limits, at least the number of seeds in the settings. */
   countBoxes(): number {
-    const present = this.#options.members().filter(({ state }) => state !== "dead");
-    return Math.max(this.#options.settings().seeds.length, present.length);
+    const running = this.#options.members().filter(({ state }) => state !== "dead");
+    return Math.max(this.#options.settings().seeds.length, running.length);
   }
 
   /**
-   * Lists the boxes that serve a region. Asked for with each call, so it is kept until a box changes.
+   * Returns the boxes that serve a region.
    *
-   * @param region - The region.
-   * @returns The boxes.
+   * @param region - Name of the region.
+   * @returns The serving boxes.
    */
   servingBoxes(region: string): ReadonlyArray<Member> {
-    const kept = this.#serving.get(region);
-    if (kept !== undefined) {
-      return kept;
+    const cached = this.#serving.get(region);
+    if (cached !== undefined) {
+      return cached;
     }
     const { alive, settings } = this.#options;
     const { regions } = settings();
-    const near = alive().filter(({ dataCentre }) => regions.get(dataCentre) === region);
-    const serving = servingBoxes(near);
+    const local = alive().filter(({ dataCentre }) => regions.get(dataCentre) === region);
+    const serving = servingBoxes(local);
     this.#serving.set(region, serving);
     return serving;
   }
 
   /**
-   * Lists the addresses that callers are told to use.
+   * Returns the addresses that callers should use. While this box has been disconnected from all others for too long,
+   * this is only its own address.
    *
-   * @param region - Where the caller stands.
-   * @param homes - Regions in which the routes of the host that the caller asked for are served; any by default.
-   * @returns Addresses of that region's boxes; where none there can be given work, of those at home, else of all. This box alone
-   *   while it is cut off from the others.
+   * @param region - Region of the caller.
+   * @param homes - Allowed regions of the routes for the requested host; empty if there is no restriction.
+   * @returns Addresses of the region's serving boxes; if there are none, of those of the allowed regions, or else of all
+   *   boxes.
    */
   resolveAddresses(
     region: string,
     homes: ReadonlyArray<string> = [],
   ): ReadonlyArray<SocketAddress> {
-    const self = this.#alone();
-    const near = self === undefined ? this.servingBoxes(region) : [self];
-    const atHome = near.length > 0 ? near : homes.flatMap((home) => this.servingBoxes(home));
-    const advised = atHome.length > 0 ? atHome : this.#options.alive();
-    return advised.map(({ address, callerPort }) => ({ address, port: callerPort }));
-  }
-
-  /**
-   * This box, where it has been cut off from all others for so long that boxes it takes for alive may have ended a
-   * while ago: naming them would cost each caller a second.
-   */
-  #alone(): Member | undefined {
-    const { alive, settings, sinceLastContactMs: unheardForMs } = this.#options;
-    const { box, recoveryDeadlineMs: soundAfterMs } = settings();
-    return unheardForMs() > soundAfterMs
+    const self = this.#selfIfIsolated();
+    const local = self === undefined ? this.servingBoxes(region) : [self];
+    const allowed = local.length > 0 ? local : homes.flatMap((home) => this.servingBoxes(home));
+    const boxes = allowed.length > 0 ? allowed : this.#options.alive();
+    return boxes.map(({ address, callerPort }) => ({ address, port: callerPort }));
+  }
+
+  /** Returns this box if it has been disconnected for so long that the states of the other boxes may be outdated. */
+  #selfIfIsolated(): Member | undefined {
+    const { alive, settings, sinceLastContactMs } = this.#options;
+    const { box, recoveryDeadlineMs } = settings();
+    return sinceLastContactMs() > recoveryDeadlineMs
       ? alive().find(({ memberId }) => memberId === box)
       : undefined;
   }
 
-  /** Whether this box is among those that watch the store; kept until a box changes. */
+  /** Returns whether this box is one of those that watch the store. */
   watchesStore(): boolean {
-    this.#watchesStore ??= storeWatchers(this.#nearLiving()).has(this.#options.settings().box);
+    this.#watchesStore ??= storeWatchers(this.#localLiveMembers()).has(
+      this.#options.settings().box,
+    );
     return this.#watchesStore;
   }
 
-  /** Other boxes of the own region. */
+  /** Returns the other boxes of this box's region. */
   regionPeers(): ReadonlyArray<Member> {
     const { box } = this.#options.settings();
-    return this.#nearLiving().filter(({ memberId }) => memberId !== box);
+    return this.#localLiveMembers().filter(({ memberId }) => memberId !== box);
   }
 
   /**
-   * Lists the boxes that are told at once of what this one learns: all near, and one of each other
-   * region, which tells its own. Also those that watch the store, as it may turn some boxes away: told
-   * by the regular exchanges alone, configurations took up to 3.6 s from box to box.
+   * Returns the boxes to notify immediately of an update: all other boxes of this region, and one of each other region,
+   * which notifies its own. Boxes that watch the store are included, as it may refuse some of them.
    *
-   * @returns The boxes.
+   * @returns The boxes to notify.
    */
   updateRecipients(): ReadonlyArray<Member> {
     const { dataCentre, regions } = this.#options.settings();
-    const own = regions.get(dataCentre);
-    const elsewhere = [...new Set(regions.values())].filter((region) => region !== own);
-    return [...this.regionPeers(), ...elsewhere.flatMap((region) => this.#oneOf(region))];
+    const ownRegion = regions.get(dataCentre);
+    const otherRegions = [...new Set(regions.values())].filter((region) => region !== ownRegion);
+    return [
+      ...this.regionPeers(),
+      ...otherRegions.flatMap((region) => this.#randomServingBox(region)),
+    ];
   }
 
-  /** A random box, so that one that hears nothing is not told again and again. */
-  #oneOf(region: string): ReadonlyArray<Member> {
+  /** Returns a random serving box, so that an unreachable one is not selected each time. */
+  #randomServingBox(region: string): ReadonlyArray<Member> {
     const serving = this.servingBoxes(region);
     const box = serving[Math.floor(Math.random() * serving.length)];
     return box === undefined ? [] : [box];
   }
 
   /**
-   * Works out how many connections this box may have to a leaf. Serving boxes share them; one that
-   * stands by needs few, if any.
+   * Computes how many connections this box may have to a leaf. The serving boxes divide them; a box on standby needs few.
    *
-   * @param mostConnections - Connections that the leaf takes from all boxes.
-   * @returns This box's share, one at least.
+   * @param maxConnections - Maximum number of connections to the leaf from all boxes.
+   * @returns This box's share, at least 1.
    */
-  connectionShare(mostConnections: number): number {
-    const { countServing, isServing } = this.#serves();
-    const sharers = isServing ? countServing : this.countBoxes();
-    const share = Math.floor(mostConnections / (sharers + 1));
-    return Math.max(1, Math.min(MOST_CONNECTIONS, share));
+  connectionShare(maxConnections: number): number {
+    const { servingCount, isServing } = this.#servingState();
+    const boxCount = isServing ? servingCount : this.countBoxes();
+    const share = Math.floor(maxConnections / (boxCount + 1));
+    return Math.max(1, Math.min(MAX_CONNECTIONS, share));
   }
 
   /**
-   * Works out this box's share of what all boxes may spend together. On boxes that know the same members
-   * the shares come to 1.
+   * Computes this box's share of the slack of all boxes. The shares add up to 1 if all boxes know the same members.
    *
    * @returns The share, 0 to 1.
    */
   slackShare(): number {
-    const { countServing, isServing } = this.#serves();
-    const ofAll = (1 - SERVING_PART) / this.countBoxes();
-    return isServing ? ofAll + SERVING_PART / countServing : ofAll;
+    const { servingCount, isServing } = this.#servingState();
+    const commonShare = (1 - SERVING_SHARE) / this.countBoxes();
+    return isServing ? commonShare + SERVING_SHARE / servingCount : commonShare;
   }
 
   /**
-   * Lists the boxes that may call leafs of a data centre while these are cold: those that serve its region, also
-   * where they seem to be dead, as one that is cut off goes on calling. None before another box is known: the parts
-   * of boxes that start together would each be the whole.
+   * Returns the boxes that may call leafs of a data centre while these are cold: the boxes that serve its region. Dead ones
+   * are included, as a disconnected box continues to call. The result is empty until another box is known, as otherwise
+   * each of several boxes that start together would take the entire limit.
    *
-   * @param dataCentre - The data centre.
-   * @returns Their names.
+   * @param dataCentre - Name of the data centre.
+   * @returns The ids of the boxes.
    */
   coldLeafCallers(dataCentre: string): ReadonlyArray<string> {
-    const kept = this.#callersOfCold.get(dataCentre);
-    const callers = kept ?? this.#findCallersOfCold(dataCentre);
-    this.#callersOfCold.set(dataCentre, callers);
+    const cached = this.#coldLeafCallers.get(dataCentre);
+    const callers = cached ?? this.#findColdLeafCallers(dataCentre);
+    this.#coldLeafCallers.set(dataCentre, callers);
     return callers;
   }
 
-  #findCallersOfCold(dataCentre: string): ReadonlyArray<string> {
+  #findColdLeafCallers(dataCentre: string): ReadonlyArray<string> {
     const { members, settings } = this.#options;
     const { regions } = settings();
     const known = members().filter(({ state }) => state !== "leaving");
@@ -192,31 +191,31 @@
       return [];
     }
     const region = regions.get(dataCentre);
-    const near = known.filter((member) => regions.get(member.dataCentre) === region);
-    return servingBoxes(near).map(({ memberId }) => memberId);
+    const local = known.filter((member) => regions.get(member.dataCentre) === region);
+    return servingBoxes(local).map(({ memberId }) => memberId);
   }
 
-  /** Boxes that serve some region: callers' requests come in at these. */
+  /** Returns the serving boxes of all regions. */
   allServingBoxes(): ReadonlyArray<Member> {
     const { regions } = this.#options.settings();
     return [...new Set(regions.values())].flatMap((region) => this.servingBoxes(region));
   }
 
-  /** How many boxes serve in all regions, and whether this one does. */
-  #serves(): { readonly countServing: number; readonly isServing: boolean } {
+  /** Returns the number of serving boxes in all regions, and whether this box is one of them. */
+  #servingState(): { readonly servingCount: number; readonly isServing: boolean } {
     const { box } = this.#options.settings();
     const serving = this.allServingBoxes();
     const isServing = serving.some(({ memberId }) => memberId === box);
-    return { countServing: serving.length, isServing };
+    return { servingCount: serving.length, isServing };
   }
 
-  #nearLiving(): ReadonlyArray<Member> {
+  #localLiveMembers(): ReadonlyArray<Member> {
     const { members, settings } = this.#options;
     const { dataCentre, regions } = settings();
     const region = regions.get(dataCentre);
     return members().filter((member) => {
-      const isLiving = member.state === "alive" || member.state === "joining";
-      return isLiving && regions.get(member.dataCentre) === region;
+      const isLive = member.state === "alive" || member.state === "joining";
+      return isLive && regions.get(member.dataCentre) === region;
     });
   }
 }
--- a/fleet/mod.ts
+++ b/fleet/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The other boxes: who is there, who serves, who watches the store, and the datagrams by which they tell one another.
+ * Fleet membership: which boxes exist, which of them serve and watch the store, and the datagrams that they exchange.
  *
  * @module
  */
--- a/fleet/relay_places.ts
+++ b/fleet/relay_places.ts
@@ -1,37 +1,38 @@
 /**
- * Places at which boxes ask leafs for others: the other regions, and the other data centres of the own
- * region. Bytes between both have a price, and a few boxes near a leaf keep their connections to it.
+ * Places whose boxes relay calls to their leafs: other regions, and other data centres of this region. Relaying saves
+ * charged traffic between them, and only a few boxes close to a leaf keep connections to it.
  *
  * @module
  */
 import type { Distance, Leaf } from "../leafs/mod.js";
 import type { Member } from "../model/mod.js";
 
-/** What the places are made from. */
+/** Options of the relay places. */
 export interface RelayPlacesOptions {
   /** Data centre of this box. */
   readonly dataCentre: string;
+  /** Returns the region of a data centre. */
   readonly regionOf: (dataCentre: string) => string;
-  /** Boxes that serve a region. */
+  /** Returns the boxes that serve a region. */
   readonly servingBoxes: (region: string) => ReadonlyArray<Member>;
 }
 
-/** The places as one box sees them. */
+/** Relay places from the position of one box. */
 export class RelayPlaces {
   readonly #options: RelayPlacesOptions;
 
   /**
-   * @param options - What the places are made from.
+   * @param options - Options of the relay places.
    */
   constructor(options: RelayPlacesOptions) {
     this.#options = options;
   }
 
   /**
-   * Tells how far a leaf is.
+   * Returns the distance of a leaf from this box.
    *
    * @param leaf - The leaf.
-   * @returns Its distance from this box.
+   * @returns The distance.
    */
   distance({ dataCentre }: Pick<Leaf, "dataCentre">): Distance {
     if (dataCentre === this.#options.dataCentre) {
@@ -41,10 +42,10 @@
   }
 
   /**
-   * Tells whether a data centre is in this box's region.
+   * Returns whether a data centre is in this box's region.
    *
-   * @param dataCentre - The data centre.
-   * @returns Whether it is.
+   * @param dataCentre - Name of the data centre.
+   * @returns Whether it is in this region.
    */
   isLocal(dataCentre: string): boolean {
     const { regionOf } = this.#options;
@@ -52,42 +53,42 @@
   }
 
   /**
-   * Names the place at which a box may ask a leaf for this one.
+   * Returns the place whose boxes can relay calls to a leaf.
    *
    * @param leaf - The leaf.
-   * @returns The place, or nothing for a leaf of the own data centre.
+   * @returns The place, or undefined for a leaf of this data centre.
    */
   placeOf(leaf: Pick<Leaf, "dataCentre">): string | undefined {
-    return PLACE_NAMES[this.distance(leaf)](leaf.dataCentre, this.#options.regionOf);
+    return PLACE_FORMATTERS[this.distance(leaf)](leaf.dataCentre, this.#options.regionOf);
   }
 
   /**
-   * Lists the boxes at a place that can be asked.
+   * Returns the boxes of a place that can relay calls.
    *
-   * @param place - The place, as `placeOf()` names it.
-   * @returns The boxes.
+   * @param place - A place returned by `placeOf()`.
+   * @returns The serving boxes of the place.
    */
   boxesAt(place: string): ReadonlyArray<Member> {
     const { dataCentre, regionOf, servingBoxes } = this.#options;
-    if (place.startsWith(REGION)) {
-      return servingBoxes(place.slice(REGION.length));
+    if (place.startsWith(REGION_PREFIX)) {
+      return servingBoxes(place.slice(REGION_PREFIX.length));
     }
-    const wanted = place.slice(DATA_CENTRE.length);
-    return servingBoxes(regionOf(dataCentre)).filter((member) => member.dataCentre === wanted);
+    const name = place.slice(DATA_CENTRE_PREFIX.length);
+    return servingBoxes(regionOf(dataCentre)).filter((member) => member.dataCentre === name);
   }
 }
 
-/** What a place's name begins with; a region and a data centre may be called alike. */
-const REGION = "region ";
-const DATA_CENTRE = "data centre ";
+/** Prefixes that distinguish a region from a data centre of the same name. */
+const REGION_PREFIX = "region ";
+const DATA_CENTRE_PREFIX = "data centre ";
 
-const PLACE_NAMES: Readonly<
+const PLACE_FORMATTERS: Readonly<
   Record<
     Distance,
     (dataCentre: string, regionOf: (dataCentre: string) => string) => string | undefined
   >
 > = {
   zone: () => undefined,
-  region: (dataCentre) => `${DATA_CENTRE}${dataCentre}`,
-  remote: (dataCentre, regionOf) => `${REGION}${regionOf(dataCentre)}`,
+  region: (dataCentre) => `${DATA_CENTRE_PREFIX}${dataCentre}`,
+  remote: (dataCentre, regionOf) => `${REGION_PREFIX}${regionOf(dataCentre)}`,
 };
--- a/fleet/self_member.ts
+++ b/fleet/self_member.ts
@@ -1,5 +1,5 @@
 /**
- * This box as the others will know it.
+ * This box's own membership record.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import type { Member } from "../model/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 
-/** Random bytes that tell two runs of a box apart; few, as they are in each datagram. */
+/** Number of random bytes that identify an incarnation of a box; few, as each datagram contains them. */
 const INCARNATION_BYTES = 6;
 
 /**
- * Makes the account of a box that is starting.
+ * Creates the membership record of a box that is starting.
  *
- * @param settings - Its settings.
- * @returns The account, of a run that no other is like.
+ * @param settings - Settings of the box.
+ * @returns The record, with a new incarnation.
  */
 export function selfMember(settings: BoxSettings): Member {
   const { box, address, dataCentre, callers, peers, processorCores } = settings;
--- a/fleet/serving_boxes.ts
+++ b/fleet/serving_boxes.ts
@@ -1,55 +1,50 @@
 /**
- * Picks the boxes of a region that callers and other regions are sent to. A few roomy boxes serve
- * better than all: their connections to leafs stay in use, and fewer callers meet a small box. The
- * others stand by, ready to be sent to when those go. Answers the pattern of a fleet of a few roomy and
- * many small boxes whose load is far below what they could bear together.
+ * Selects the boxes of a region that receive requests from callers and other regions. Large boxes are preferred, so
+ * that their connections to leafs stay in use and few requests reach small boxes. The remaining boxes are on standby
+ * until serving boxes fail.
  *
  * @module
  */
 import { rendezvousRank } from "../hashing/mod.js";
 import type { Member } from "../model/mod.js";
 
-/** Fewest boxes of a region that serve, where there are so many: the loss of some must not show. */
-const LEAST_SERVING = 4;
+/** Minimum number of serving boxes in a region that has as many, so that it tolerates failures. */
+const MIN_SERVING = 4;
 
-/** Share of a region's processors that serving boxes hold at least, so that bursts find room. */
-const LEAST_PROCESSOR_SHARE = 0.5;
+/** Minimum share of a region's processor cores that the serving boxes have, to leave capacity for bursts. */
+const MIN_CORES_SHARE = 0.5;
 
-/**
- * Share of the roomiest box's processor that a box has at least to count as roomy. A query over 87 shards
- * takes a box with a quarter of the processor four times as long, and its parts hold a link of 14 Mbit/s
- * for 50 ms.
- */
-const ROOMY_SHARE = 0.5;
+/** Minimum share of the cores of a region's largest box with which a box counts as large. */
+const LARGE_BOX_SHARE = 0.5;
 
 /**
- * Share of a region's processors up to which boxes that are not roomy serve too. Each box that serves
- * connects to all leafs near it and compiles the whole way of a query for itself.
+ * Share of a region's processor cores up to which small boxes also serve. Each serving box needs connections to all
+ * leafs of its region.
  */
-const SMALL_PROCESSOR_SHARE = 0.25;
+const SMALL_BOX_CORES_SHARE = 0.25;
 
-/** Processor of a box that does not tell its own, in cores. */
-const UNKNOWN_CORES = 1;
+/** Number of cores assumed for a box that does not report it. */
+const DEFAULT_CORES = 1;
 
 /**
- * Picks the boxes that serve a region; alike on every box that knows the same members.
+ * Selects the boxes that serve a region. The result is the same on each box that knows the same members.
  *
- * @param members - Boxes of the region that can be given work.
- * @returns Those that serve, the roomiest first.
+ * @param members - Boxes of the region that accept work.
+ * @returns The serving boxes, largest first unless all boxes serve.
  */
 export function servingBoxes(members: ReadonlyArray<Member>): ReadonlyArray<Member> {
-  if (members.length <= LEAST_SERVING) {
+  if (members.length <= MIN_SERVING) {
     return members;
   }
-  const allCores = members.reduce((sum, each) => sum + coresOf(each), 0);
-  const ordered = roomiestFirst(members);
-  const roomyCores = ROOMY_SHARE * Math.max(...members.map(coresOf));
+  const totalCores = members.reduce((sum, each) => sum + coresOf(each), 0);
+  const sorted = largestFirst(members);
+  const minLargeCores = LARGE_BOX_SHARE * Math.max(...members.map(coresOf));
   const serving: Array<Member> = [];
   let cores = 0;
-  for (const member of ordered) {
-    const isRoomy = coresOf(member) >= roomyCores;
-    const wantedShare = isRoomy ? LEAST_PROCESSOR_SHARE : SMALL_PROCESSOR_SHARE;
-    if (serving.length >= LEAST_SERVING && cores >= wantedShare * allCores) {
+  for (const member of sorted) {
+    const isLarge = coresOf(member) >= minLargeCores;
+    const targetShare = isLarge ? MIN_CORES_SHARE : SMALL_BOX_CORES_SHARE;
+    if (serving.length >= MIN_SERVING && cores >= targetShare * totalCores) {
       break;
     }
     serving.push(member);
@@ -58,16 +53,16 @@
   return serving;
 }
 
-function coresOf({ processorCores = UNKNOWN_CORES }: Member): number {
+function coresOf({ processorCores = DEFAULT_CORES }: Member): number {
   return processorCores;
 }
 
-/** Among equal boxes the order is by hash, so that it does not hang on what each box heard first. */
-function roomiestFirst(members: ReadonlyArray<Member>): ReadonlyArray<Member> {
+/** Sorts boxes by size; equal ones by hash, so that the order is the same on every box. */
+function largestFirst(members: ReadonlyArray<Member>): ReadonlyArray<Member> {
   const ids = members.map(({ memberId }) => memberId);
   const rank = new Map(rendezvousRank("serve", ids).map((memberId, index) => [memberId, index]));
   return members.toSorted((a, b) => {
-    const order = (rank.get(a.memberId) ?? 0) - (rank.get(b.memberId) ?? 0);
-    return coresOf(b) - coresOf(a) || order;
+    const hashOrder = (rank.get(a.memberId) ?? 0) - (rank.get(b.memberId) ?? 0);
+    return coresOf(b) - coresOf(a) || hashOrder;
   });
 }
--- a/fleet/serving_boxes_test.ts
+++ b/fleet/serving_boxes_test.ts
@@ -15,41 +15,40 @@
 const SMALL = Array.from({ length: 16 }, (_, index) => box(`small-${index}`, 0.324));
 const LARGE = Array.from({ length: 4 }, (_, index) => box(`large-${index}`, 1.35));
 
-t.test("servingBoxes() names all boxes of a region with few", async (t) => {
+t.test("servingBoxes() selects all boxes of a small region", async (t) => {
   const few = [box("a"), box("b", 2), box("c")];
   t.same(servingBoxes(few), few);
 });
 
-t.test("servingBoxes() names the roomiest that hold half of the region's processors", async (t) => {
+t.test("servingBoxes() selects the largest boxes with half of the region's cores", async (t) => {
   t.same([...names(servingBoxes([...SMALL, ...LARGE]))].sort(), names(LARGE));
   t.equal(servingBoxes(SMALL).length, 8);
 });
 
-t.test("servingBoxes() is the same whatever the order of the members", async (t) => {
+t.test("servingBoxes() does not depend on the order of the members", async (t) => {
   const members = [...SMALL, ...LARGE];
   t.same(names(servingBoxes(members)), names(servingBoxes(members.toReversed())));
 });
 
-t.test("servingBoxes() turns to the others when roomy ones are gone", async (t) => {
-  const left = [...SMALL, ...LARGE.slice(0, 1)];
-  const serving = names(servingBoxes(left));
+t.test("servingBoxes() adds small boxes when large ones fail", async (t) => {
+  const remaining = [...SMALL, ...LARGE.slice(0, 1)];
+  const serving = names(servingBoxes(remaining));
   t.equal(serving[0], "large-0");
-  t.ok(serving.length >= 4 && serving.length < left.length, serving.join());
+  t.ok(serving.length >= 4 && serving.length < remaining.length, serving.join());
 });
 
 t.test(
-  "servingBoxes() leaves small boxes out where roomy ones hold a quarter of all",
+  "servingBoxes() excludes small boxes when large ones have a quarter of all cores",
   async (t) => {
-    const roomy = Array.from({ length: 6 }, (_, index) => box(`roomy-${index}`, 1.35));
-    const small = Array.from({ length: 59 }, (_, index) => box(`little-${index}`, 0.324));
-    t.same([...names(servingBoxes([...small, ...roomy]))].sort(), names(roomy));
-    const left = [...small, ...roomy.slice(0, 3)];
-    const serving = names(servingBoxes(left));
-    t.same(
-      serving.slice(0, 3).toSorted(),
-      names(roomy.slice(0, 3)),
-      "the roomy ones that are left",
+    const large = Array.from({ length: 6 }, (_, index) => box(`large-${index}`, 1.35));
+    const small = Array.from({ length: 59 }, (_, index) => box(`small-${index}`, 0.324));
+    t.same([...names(servingBoxes([...small, ...large]))].sort(), names(large));
+    const remaining = [...small, ...large.slice(0, 3)];
+    const serving = names(servingBoxes(remaining));
+    t.same(serving.slice(0, 3).toSorted(), names(large.slice(0, 3)), "the remaining large boxes");
+    t.ok(
+      serving.length > 6 && serving.length < 16,
+      `small boxes are added: ${serving.length} serve`,
     );
-    t.ok(serving.length > 6 && serving.length < 16, `small ones join: ${serving.length} serve`);
   },
 );
--- a/fleet/store_watchers.ts
+++ b/fleet/store_watchers.ts
@@ -1,23 +1,20 @@
 /**
- * Picks the boxes that watch the store. Each call has a price and a watch wakes with every change, so
- * a few boxes of each region watch and tell the others.
+ * Selects the boxes that watch the store. Calls to the store are charged, so that only a few boxes of each region
+ * watch it and notify the others.
  *
  * @module
  */
 import { rendezvousRank } from "../hashing/mod.js";
 import type { Member } from "../model/mod.js";
 
-/**
- * Boxes of each region that watch the store. A store that turns away a third of the boxes then leaves
- * a region without a watcher in one case of 27, and the others still hear from other regions.
- */
+/** Number of boxes in each region that watch the store; several, as the store may refuse some boxes. */
 export const WATCHERS_PER_REGION = 3;
 
 /**
- * Picks the boxes of a region that watch the store, alike on every box that knows the same members.
+ * Selects the boxes of a region that watch the store. The result is the same on each box that knows the same members.
  *
- * @param members - Boxes of the region that are believed to live.
- * @returns Ids of those that watch.
+ * @param members - Boxes of the region that are considered alive.
+ * @returns The ids of the selected boxes.
  */
 export function storeWatchers(members: ReadonlyArray<Member>): ReadonlySet<string> {
   const ids = members.map(({ memberId }) => memberId);
