--- a/membership/member_order.ts
+++ b/membership/member_order.ts
@@ -1,5 +1,5 @@
 /**
- * Which of two accounts of a daemon is the later one.
+ * Precedence between two records of the same daemon.
  *
  * @module
  */
@@ -14,21 +14,21 @@
 };
 
 /**
- * Tells whether one account of a daemon overrides another, alike on every box: a later run wins,
- * then the version that the daemon gave itself, then the graver state.
+ * Reports whether one record of a daemon overrides another. The order is the same on every box: the later
+ * incarnation wins, then the higher version that the daemon gave itself, then the more severe state.
  *
- * @param candidate - Account just heard.
- * @param held - Account known.
- * @returns Whether the candidate replaces it.
+ * @param candidate - Received record.
+ * @param current - Known record.
+ * @returns Whether the candidate replaces the known record.
  */
-export function overrides(candidate: Member, held: Member): boolean {
-  if (candidate.incarnation !== held.incarnation) {
-    return candidate.startedAtEpochMs === held.startedAtEpochMs
-      ? candidate.incarnation > held.incarnation
-      : candidate.startedAtEpochMs > held.startedAtEpochMs;
+export function overrides(candidate: Member, current: Member): boolean {
+  if (candidate.incarnation !== current.incarnation) {
+    return candidate.startedAtEpochMs === current.startedAtEpochMs
+      ? candidate.incarnation > current.incarnation
+      : candidate.startedAtEpochMs > current.startedAtEpochMs;
   }
-  if (candidate.version !== held.version) {
-    return candidate.version > held.version;
+  if (candidate.version !== current.version) {
+    return candidate.version > current.version;
   }
-  return STATE_RANKS[candidate.state] > STATE_RANKS[held.state];
+  return STATE_RANKS[candidate.state] > STATE_RANKS[current.state];
 }
--- a/membership/membership.ts
+++ b/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * The membership table of one daemon, in the manner of SWIM: each second it exchanges with one
- * other daemon; who does not answer is suspected, may speak up, and else is taken for dead. What
- * changed rides on the next exchanges, so the traffic of a daemon does not grow with their number.
+ * The membership table of one daemon, based on SWIM: every second it probes one other daemon. A daemon that does
+ * not answer is suspected and, unless it refutes the suspicion in time, considered dead. Changes are piggybacked on
+ * the messages, so that the traffic of a daemon does not grow with the number of daemons.
  *
  * Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
  * Membership Protocol", 2002.
@@ -12,35 +12,35 @@
 import type { Member, Role } from "../model/mod.js";
 import { overrides } from "./member_order.js";
 
-/** Time a suspected daemon has to speak up, in milliseconds. */
+/** Time in which a suspected daemon can refute the suspicion, in milliseconds. */
 export const SUSPICION_TIMEOUT_MS = 2_500;
 
-/** Time a dead daemon is remembered, so that old news does not revive it, in milliseconds. */
+/** Time for which a dead daemon is remembered, so that stale records do not revive it, in milliseconds. */
 export const DEAD_RETENTION_MS = 300_000;
 
-/** Accounts that ride on one exchange at most. */
-const RIDERS = 12;
+/** Maximum number of recently changed members in one message. */
+const MAX_CHANGED_MEMBERS = 12;
 
-/** Accounts picked at random for each exchange, to mend what was missed. */
-const RANDOM_RIDERS = 3;
+/** Number of random members in each message, to repair missed changes. */
+const RANDOM_MEMBERS = 3;
 
-/** A member with what this daemon notes beside it. */
+/** A member with local bookkeeping. */
 export interface MemberRecord {
   readonly member: Member;
-  /** When this daemon took in the account, on its own clock. */
+  /** Time at which this daemon applied the record, on its own clock. */
   readonly changedAtMs: number;
-  /** Exchanges that the account still rides on. */
+  /** Number of further messages that carry the member. */
   readonly transmissionsLeft: number;
 }
 
-/** What one daemon knows of all. */
+/** View of the group that one daemon has. */
 export interface Membership {
   readonly self: Member;
   readonly records: ImmutableMap<string, MemberRecord>;
 }
 
 /**
- * Starts a table with the daemon alone.
+ * Creates a table that contains only the daemon itself.
  *
  * @param self - The daemon.
  * @returns The table.
@@ -50,12 +50,12 @@
 }
 
 /**
- * Takes in accounts of daemons.
+ * Merges received records of daemons.
  *
- * @param membership - The table so far.
- * @param members - Accounts heard.
- * @param options - The present moment.
- * @returns The table after that, and the accounts that changed it.
+ * @param membership - Current table.
+ * @param members - Received records.
+ * @param options - Current time, in milliseconds.
+ * @returns The updated table, and the records that changed it.
  */
 export function mergeMembers(
   membership: Membership,
@@ -66,125 +66,127 @@
   let { self, records } = membership;
   for (const member of members) {
     if (member.memberId === self.memberId) {
-      self = answerRumour(self, member);
+      self = refuteRumour(self, member);
       continue;
     }
-    const held = records.get(member.memberId);
-    if (held === undefined || overrides(member, held.member)) {
-      const ridesLeft = ridesFor(records.size);
-      records = records.set(member.memberId, {
-        member,
-        changedAtMs: nowMs,
-        transmissionsLeft: ridesLeft,
-      });
+    const current = records.get(member.memberId);
+    if (current === undefined || overrides(member, current.member)) {
+      const transmissionsLeft = transmissionLimit(records.size);
+      records = records.set(member.memberId, { member, changedAtMs: nowMs, transmissionsLeft });
       changed.push(member);
     }
   }
   return { membership: { self, records }, changed };
 }
 
-/** Speaks up when others hold an account of this daemon that would override the true one. */
-function answerRumour(self: Member, heard: Member): Member {
-  if (heard.incarnation !== self.incarnation) {
-    return overrides(heard, self)
-      ? { ...self, startedAtEpochMs: heard.startedAtEpochMs + 1, version: self.version + 1 }
+/** Refutes a received record of this daemon that would override its own. */
+function refuteRumour(self: Member, received: Member): Member {
+  if (received.incarnation !== self.incarnation) {
+    return overrides(received, self)
+      ? { ...self, startedAtEpochMs: received.startedAtEpochMs + 1, version: self.version + 1 }
       : self;
   }
-  const same = heard.state === self.state;
-  return !same && overrides(heard, self) ? { ...self, version: heard.version + 1 } : self;
+  const isSameState = received.state === self.state;
+  return !isSameState && overrides(received, self)
+    ? { ...self, version: received.version + 1 }
+    : self;
 }
 
-function ridesFor(memberCount: number): number {
+function transmissionLimit(memberCount: number): number {
   return 3 * Math.ceil(Math.log2(memberCount + 2));
 }
 
 /**
- * Notes that a daemon did not answer.
+ * Marks a daemon that did not answer as suspected; one that was leaving is considered dead.
  *
- * @param membership - The table so far.
- * @param memberId - Who did not answer.
- * @param options - The present moment.
- * @returns The table after that.
+ * @param membership - Current table.
+ * @param memberId - Id of the daemon.
+ * @param options - Current time, in milliseconds.
+ * @returns The updated table.
  */
 export function suspectMember(
   membership: Membership,
   memberId: string,
   { nowMs }: { readonly nowMs: number },
 ): Membership {
-  const held = membership.records.get(memberId);
-  if (held === undefined || held.member.state === "suspect" || held.member.state === "dead") {
+  const current = membership.records.get(memberId);
+  if (
+    current === undefined ||
+    current.member.state === "suspect" ||
+    current.member.state === "dead"
+  ) {
     return membership;
   }
-  // A leaving daemon that falls silent has ended as it said it would.
-  const state = held.member.state === "leaving" ? "dead" : "suspect";
-  return mergeMembers(membership, [{ ...held.member, state }], { nowMs }).membership;
+  // A leaving daemon that stops answering has shut down as announced.
+  const state = current.member.state === "leaving" ? "dead" : "suspect";
+  return mergeMembers(membership, [{ ...current.member, state }], { nowMs }).membership;
 }
 
 /**
- * Takes suspected daemons for dead once their time is up, and forgets the long dead.
+ * Marks daemons dead whose suspicion timeout has passed, and removes those past the retention time of dead daemons.
  *
- * @param membership - The table so far.
- * @param options - The present moment.
- * @returns The table after that.
+ * @param membership - Current table.
+ * @param options - Current time, in milliseconds.
+ * @returns The updated table.
  */
 export function expireMembers(
   membership: Membership,
   { nowMs }: { readonly nowMs: number },
 ): Membership {
-  const overdue = [...membership.records.values()]
+  const expired = [...membership.records.values()]
     .filter(({ member, changedAtMs }) => {
       return member.state === "suspect" && nowMs - changedAtMs >= SUSPICION_TIMEOUT_MS;
     })
     .map(({ member }) => ({ ...member, state: "dead" as const }));
-  const aged = mergeMembers(membership, overdue, { nowMs }).membership;
-  const records = aged.records.filter(({ member, changedAtMs }) => {
+  const updated = mergeMembers(membership, expired, { nowMs }).membership;
+  const records = updated.records.filter(({ member, changedAtMs }) => {
     return member.state !== "dead" || nowMs - changedAtMs < DEAD_RETENTION_MS;
   });
-  return records.size === aged.records.size ? aged : { ...aged, records };
+  return records.size === updated.records.size ? updated : { ...updated, records };
 }
 
 /**
- * Picks the accounts that ride on one exchange: those changed last, and a few at random.
+ * Selects the members to piggyback on one message: the most recently changed, and a few random ones.
  *
- * @param membership - The table so far.
- * @param pick - Gives a whole number from 0 up to but without its argument.
- * @returns The accounts, and the table with their rides counted.
+ * @param membership - Current table.
+ * @param randomInt - Returns a random integer from 0 up to, but excluding, its argument.
+ * @returns The members, and the table with their remaining transmissions updated.
  */
 export function selectPiggybackMembers(
   membership: Membership,
-  pick: (count: number) => number,
+  randomInt: (count: number) => number,
 ): { readonly membership: Membership; readonly piggybackMembers: ReadonlyArray<Member> } {
-  const fresh = [...membership.records.values()]
+  const recent = [...membership.records.values()]
     .filter((record) => record.transmissionsLeft > 0)
     .sort((a, b) => b.transmissionsLeft - a.transmissionsLeft)
-    .slice(0, RIDERS);
+    .slice(0, MAX_CHANGED_MEMBERS);
   let records = membership.records;
-  for (const record of fresh) {
-    const counted = { ...record, ridesLeft: record.transmissionsLeft - 1 };
-    records = records.set(record.member.memberId, counted);
+  for (const record of recent) {
+    const updated = { ...record, transmissionsLeft: record.transmissionsLeft - 1 };
+    records = records.set(record.member.memberId, updated);
   }
   const all = [...membership.records.values()];
-  const random = Array.from({ length: Math.min(RANDOM_RIDERS, all.length) }, () => {
-    return all[pick(all.length)];
+  const random = Array.from({ length: Math.min(RANDOM_MEMBERS, all.length) }, () => {
+    return all[randomInt(all.length)];
   }).filter((record) => record !== undefined);
-  const riders = new Set([...fresh, ...random].map((record) => record.member));
-  return { membership: { ...membership, records }, piggybackMembers: [...riders] };
+  const piggybackMembers = new Set([...recent, ...random].map((record) => record.member));
+  return { membership: { ...membership, records }, piggybackMembers: [...piggybackMembers] };
 }
 
-// Counts depend on the records alone; the memo only saves work.
-const COUNTS = new WeakMap<Membership["records"], Map<Role, number>>();
+// The counts depend only on the records, which are immutable.
+const ALIVE_COUNTS = new WeakMap<Membership["records"], Map<Role, number>>();
 
 /**
- * Counts the daemons of a role that can be given work, this one always included in its own.
+ * Counts the daemons of a role that accept work. This daemon always counts for its own role.
  *
- * @param membership - The table.
- * @param role - Role wanted.
- * @returns How many.
+ * @param membership - Membership table.
+ * @param role - Role to count.
+ * @returns The number of daemons.
  */
 export function countAlive(membership: Membership, role: Role): number {
   const { records, self } = membership;
-  const counts = COUNTS.get(records) ?? new Map<Role, number>();
-  COUNTS.set(records, counts);
+  const counts = ALIVE_COUNTS.get(records) ?? new Map<Role, number>();
+  ALIVE_COUNTS.set(records, counts);
   const others =
     counts.get(role) ??
     records.count(({ member }) => member.role === role && member.state === "alive");
@@ -193,11 +195,11 @@
 }
 
 /**
- * Lists the daemons of a role that can be given work, this one included.
+ * Returns the daemons of a role that accept work, including this one.
  *
- * @param membership - The table.
- * @param role - Role wanted.
- * @returns Members that are alive.
+ * @param membership - Membership table.
+ * @param role - Role to select.
+ * @returns The members that are alive.
  */
 export function aliveMembers(membership: Membership, role: Role): ReadonlyArray<Member> {
   const others = [...membership.records.values()].map((record) => record.member);
--- a/membership/mod.ts
+++ b/membership/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Which daemons there are, heard from one another.
+ * Group membership by gossip between daemons.
  *
  * @module
  */
