--- a/clock/box_clock.ts
+++ b/clock/box_clock.ts
@@ -1,12 +1,12 @@
 /**
- * The clock of this process. All ages and deadlines of a box are told by it.
+ * The clock of this process, by which a box measures all ages and deadlines.
  *
  * @module
  */
 import { uptime } from "node:os";
 import { SuspendAwareClock } from "./suspend_aware_clock.js";
 
-/** The clock of this process. */
+/** Clock that all modules of this process share. */
 export const BOX_CLOCK = new SuspendAwareClock({
   monotonicMs: () => performance.now(),
   epochMs: () => Date.now(),
@@ -14,9 +14,9 @@
 });
 
 /**
- * Tells the moment.
+ * Returns the current time.
  *
- * @returns Milliseconds since the process started, suspensions of the box included.
+ * @returns Milliseconds since the process started, including time in which the box was suspended.
  */
 export function nowMs(): number {
   return BOX_CLOCK.nowMs();
--- a/clock/mod.ts
+++ b/clock/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The time that has passed, also while the box was suspended.
+ * Monotonic time that includes suspensions of the box.
  *
  * @module
  */
--- a/clock/suspend_aware_clock.ts
+++ b/clock/suspend_aware_clock.ts
@@ -1,136 +1,139 @@
 /**
- * A clock that goes on over a suspension of the box.
+ * A monotonic clock that includes time in which the box was suspended.
  *
- * The steady clock of a process stands still while its box is suspended: ages of configurations, leafs,
- * members and budgets come out too young by that time. The time of day goes on, but may also be stepped;
- * only the clock since boot tells the two apart. It costs system calls, so it is read where the time of
- * day runs ahead, and once a second to see whether it can be relied on at all.
+ * The monotonic clock of a process stops during a suspension, so ages of configurations, leafs, members and
+ * budgets would come out too small. The time of day advances during a suspension but may also be stepped; the
+ * time since boot distinguishes the two. Reading it takes system calls, so it is read only when the time of day
+ * jumps forward, and once a second to check that it is reliable.
  *
  * @module
  */
 
-/** How far the time of day must run ahead to ask for the reason, in milliseconds; well above its drift. */
-const JUMP_MS = 250;
+/** Advance of the time of day over the monotonic clock that counts as a jump, in milliseconds. */
+const JUMP_THRESHOLD_MS = 250;
 
-/** Time between two looks at the clock since boot, in milliseconds. */
-const LOOK_EVERY_MS = 1_000;
+/** Interval between checks of the time since boot, in milliseconds. */
+const CHECK_INTERVAL_MS = 1_000;
 
 /**
- * How far the clock since boot may be off the steady one between two looks, in milliseconds: it is told in
- * hundredths of a second, and a busy process reads the two some time apart.
+ * Largest difference between boot time and monotonic time over one interval that counts as agreement, in
+ * milliseconds. The operating system reports boot time in hundredths of a second.
  */
 const TOLERANCE_MS = 60;
 
-/**
- * Looks in a row at which it must have agreed to be relied on: a clock that runs by other rules may agree
- * a few times by chance, and believed it would move all deadlines with each step of the time of day.
- */
-const LEAST_AGREEMENTS = 10;
+/** Consecutive checks in which boot time must agree with monotonic time before it is relied on. */
+const MIN_AGREEMENTS = 10;
 
-/** What the clock reads; each in milliseconds. */
+/** Time sources of the clock, each in milliseconds. */
 export interface ClockSources {
-  /** Stands still during a suspension; never stepped. */
+  /** Monotonic time; stops during a suspension and is never stepped. */
   readonly monotonicMs: () => number;
-  /** Time of day; goes on during a suspension, may be stepped. */
+  /** Time of day; advances during a suspension and may be stepped. */
   readonly epochMs: () => number;
-  /** Time since boot; goes on during a suspension, never stepped. Some platforms do not keep it. */
+  /**
+   * Time since boot; advances during a suspension and is never stepped. Some platforms do not maintain it
+   * correctly.
+   */
   readonly bootMs: () => number;
 }
 
 /** A forward jump of the time of day. */
 export interface ClockJump {
+  /** Size of the jump, in milliseconds. */
   readonly jumpMs: number;
   /**
-   * Time for which the box was suspended; 0 where the time of day was stepped, nothing where it cannot be
-   * told.
+   * Time in which the box was suspended, in milliseconds; 0 if the time of day was stepped, undefined if the
+   * cause is unknown.
    */
   readonly suspendedMs: number | undefined;
 }
 
-/** What the sources said together. */
+/** Sources read at the same time. */
 interface Reading {
-  readonly steadyMs: number;
+  readonly monotonicMs: number;
   readonly bootMs: number;
 }
 
-/** The clock. */
+/** Clock that detects suspensions of the box and includes them in its time. */
 export class SuspendAwareClock {
   readonly #sources: ClockSources;
   #onJump: (jump: ClockJump) => void = () => undefined;
-  /** Time spent suspended so far. */
+  /** Total time in which the box was suspended. */
   #suspendedMs = 0;
-  /** By how much the time of day was ahead of the steady clock when last read. */
-  #aheadMs: number;
-  #look: Reading;
+  /** Difference between the time of day and the monotonic clock at the last reading. */
+  #epochOffsetMs: number;
+  #lastCheck: Reading;
   #agreements = 0;
 
   /**
-   * @param sources - What the clock reads.
+   * @param sources - Time sources.
    */
   constructor(sources: ClockSources) {
     this.#sources = sources;
-    this.#aheadMs = sources.epochMs() - sources.monotonicMs();
-    this.#look = this.#read();
+    this.#epochOffsetMs = sources.epochMs() - sources.monotonicMs();
+    this.#lastCheck = this.#read();
   }
 
   /**
-   * Sets who is told of forward jumps of the time of day.
+   * Sets the listener for forward jumps of the time of day.
    *
-   * @param onJump - Told of each as soon as the clock is read after it.
+   * @param onJump - Called with each jump when the clock is first read after it.
    */
   setJumpListener(onJump: (jump: ClockJump) => void): void {
     this.#onJump = onJump;
   }
 
   /**
-   * Tells the moment.
+   * Returns the current time.
    *
-   * @returns Milliseconds since the process started, suspensions included.
+   * @returns Milliseconds since the process started, including suspensions.
    */
   nowMs(): number {
-    const steadyMs = this.#sources.monotonicMs();
-    const aheadMs = this.#sources.epochMs() - steadyMs;
-    const jumpMs = aheadMs - this.#aheadMs;
-    this.#aheadMs = aheadMs;
-    if (jumpMs > JUMP_MS) {
+    const monotonicMs = this.#sources.monotonicMs();
+    const epochOffsetMs = this.#sources.epochMs() - monotonicMs;
+    const jumpMs = epochOffsetMs - this.#epochOffsetMs;
+    this.#epochOffsetMs = epochOffsetMs;
+    if (jumpMs > JUMP_THRESHOLD_MS) {
       this.#explainJump(jumpMs);
     }
-    return steadyMs + this.#suspendedMs;
+    return monotonicMs + this.#suspendedMs;
   }
 
-  /** Looks now and then whether the clock since boot goes with the steady one. */
+  /** Checks that boot time advances with monotonic time; does nothing until the check interval has passed. */
   checkBootClock(): void {
-    const before = this.#look;
-    if (this.#sources.monotonicMs() - before.steadyMs < LOOK_EVERY_MS) {
+    const before = this.#lastCheck;
+    if (this.#sources.monotonicMs() - before.monotonicMs < CHECK_INTERVAL_MS) {
       return;
     }
-    // First, so that a suspension is not taken for a clock that disagrees.
+    // Handles a suspension first, which would otherwise count as a disagreement.
     this.nowMs();
-    if (this.#look === before) {
-      const missingMs = this.#missingSinceLook();
+    if (this.#lastCheck === before) {
+      const missingMs = this.#missingSinceCheck();
       this.#agreements = Math.abs(missingMs) < TOLERANCE_MS ? this.#agreements + 1 : 0;
     }
   }
 
   #explainJump(jumpMs: number): void {
-    if (this.#agreements < LEAST_AGREEMENTS) {
+    if (this.#agreements < MIN_AGREEMENTS) {
       this.#onJump({ jumpMs, suspendedMs: undefined });
       return;
     }
-    const missingMs = this.#missingSinceLook();
+    const missingMs = this.#missingSinceCheck();
     const suspendedMs = missingMs > TOLERANCE_MS ? missingMs : 0;
     this.#suspendedMs += suspendedMs;
     this.#onJump({ jumpMs, suspendedMs });
   }
 
-  /** Time since the last look that the steady clock has not counted. */
-  #missingSinceLook(): number {
-    const before = this.#look;
-    this.#look = this.#read();
-    return this.#look.bootMs - before.bootMs - (this.#look.steadyMs - before.steadyMs);
+  /** Time since the last check that the monotonic clock does not include. */
+  #missingSinceCheck(): number {
+    const before = this.#lastCheck;
+    this.#lastCheck = this.#read();
+    return (
+      this.#lastCheck.bootMs - before.bootMs - (this.#lastCheck.monotonicMs - before.monotonicMs)
+    );
   }
 
   #read(): Reading {
-    return { steadyMs: this.#sources.monotonicMs(), bootMs: this.#sources.bootMs() };
+    return { monotonicMs: this.#sources.monotonicMs(), bootMs: this.#sources.bootMs() };
   }
 }
