--- a/hashing/fnv1a.ts
+++ b/hashing/fnv1a.ts
@@ -1,5 +1,5 @@
 /**
- * A short hash of text that is the same on every daemon.
+ * A 32-bit text hash that is stable across processes.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 const PRIME = 0x01000193;
 
 /**
- * Hashes text to 32 bits with FNV-1a and a final mix, since plain FNV-1a spreads short names badly.
+ * Hashes text to 32 bits with FNV-1a and a finalizer, as plain FNV-1a distributes short names poorly.
  *
- * Source of the constants: Fowler, Noll and Vo; of the mix: MurmurHash3's 32-bit finaliser.
+ * Constants: Fowler, Noll and Vo. Finalizer: the 32-bit one of MurmurHash3.
  *
- * @param text - Any text; UTF-16 code units are hashed.
+ * @param text - Text, hashed by UTF-16 code units.
  * @returns An unsigned 32-bit number.
  */
 export function fnv1a(text: string): number {
--- a/hashing/mod.ts
+++ b/hashing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Hashes that every daemon computes alike, and the choice of owners by them.
+ * Hashes that are stable across processes, and rendezvous hashing based on them.
  *
  * @module
  */
--- a/hashing/rendezvous.ts
+++ b/hashing/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: each daemon picks the same owners from the same names, and the loss of one
- * name moves only what it owned.
+ * Rendezvous hashing: each process ranks the same names in the same order, and removing a name
+ * reassigns only the keys that it owned.
  *
  * @module
  */
@@ -11,9 +11,9 @@
  *
  * Source: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous", 1996.
  *
- * @param key - What is to be owned.
- * @param names - Candidates.
- * @returns The candidates, best owner first.
+ * @param key - Key to assign.
+ * @param names - Candidate owners.
+ * @returns The candidates, highest weight first.
  */
 export function rendezvousRank(key: string, names: ReadonlyArray<string>): ReadonlyArray<string> {
   return names
--- a/hashing/rendezvous_test.ts
+++ b/hashing/rendezvous_test.ts
@@ -4,7 +4,7 @@
 
 const NAMES = ["a", "b", "c", "d", "e"];
 
-t.test("rendezvousRank() moves only what the lost name owned", async (t) => {
+t.test("rendezvousRank() reassigns only the keys of a removed name", async (t) => {
   for (let key = 0; key < 200; key++) {
     const before = rendezvousRank(`leaf-${key}`, NAMES);
     const after = rendezvousRank(
@@ -18,7 +18,7 @@
   }
 });
 
-t.test("rendezvousRank() spreads keys over names within a third of the even share", async (t) => {
+t.test("rendezvousRank() distributes keys to within a third of an equal share", async (t) => {
   const owned = new Map<string, number>();
   for (let key = 0; key < 2_000; key++) {
     const owner = rendezvousRank(`leaf-${key}`, NAMES)[0] ?? "";
@@ -29,7 +29,7 @@
   }
 });
 
-t.test("fnv1a() gives the same number for the same text on every run", async (t) => {
+t.test("fnv1a() returns the same hash for the same text", async (t) => {
   t.equal(fnv1a("rackvale"), fnv1a("rackvale"));
   t.not(fnv1a("a"), fnv1a("b"));
 });
