--- a/virtual_time/mod.ts
+++ b/virtual_time/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Time that passes only as things are done, for runs that repeat.
+ * Virtual time for reproducible simulations.
  *
  * @module
  */
--- a/virtual_time/schedule.ts
+++ b/virtual_time/schedule.ts
@@ -1,47 +1,50 @@
 /**
- * Virtual time: things to do, in the order of their moments.
+ * Discrete-event schedule: runs events in the order of their virtual times.
  *
  * @module
  */
 import prand from "pure-rand";
 import TinyQueue from "tinyqueue";
 
-interface Item {
+interface ScheduledEvent {
   readonly atMs: number;
   readonly order: number;
   readonly run: () => void;
 }
 
-/** A schedule with its own clock and its own random numbers. */
+/** Event schedule with a virtual clock and a seeded random number generator. */
 export class Schedule {
-  readonly #queue = new TinyQueue<Item>([], (a, b) => a.atMs - b.atMs || a.order - b.order);
+  readonly #queue = new TinyQueue<ScheduledEvent>(
+    [],
+    (a, b) => a.atMs - b.atMs || a.order - b.order,
+  );
   #random: prand.RandomGenerator;
   #order = 0;
   #nowMs = 0;
   #steps = 0;
 
   /**
-   * @param seed - Seed of the random numbers; the same seed gives the same run.
+   * @param seed - Seed of the random number generator; the same seed gives the same run.
    */
   constructor(seed: number) {
     this.#random = prand.xoroshiro128plus(seed);
   }
 
-  /** The present moment. */
+  /** Current virtual time, in milliseconds. */
   get nowMs(): number {
     return this.#nowMs;
   }
 
-  /** Things done so far. */
+  /** Number of events run so far. */
   get steps(): number {
     return this.#steps;
   }
 
   /**
-   * Plans something.
+   * Schedules an event.
    *
-   * @param delayMs - Time from now.
-   * @param run - What to do.
+   * @param delayMs - Delay from the current virtual time, in milliseconds; a negative delay counts as 0.
+   * @param run - Callback that runs the event.
    */
   after(delayMs: number, run: () => void): void {
     this.#order += 1;
@@ -50,49 +53,49 @@
   }
 
   /**
-   * Does the next thing.
+   * Advances the clock to the next event and runs it.
    *
-   * @returns Whether there was one.
+   * @returns Whether there was an event to run.
    */
   runNext(): boolean {
-    const item = this.#queue.pop();
-    if (item === undefined) {
+    const event = this.#queue.pop();
+    if (event === undefined) {
       return false;
     }
-    this.#nowMs = item.atMs;
+    this.#nowMs = event.atMs;
     this.#steps += 1;
-    item.run();
+    event.run();
     return true;
   }
 
   /**
-   * Draws a whole number.
+   * Returns a random integer.
    *
-   * @param least - Smallest.
-   * @param most - Largest.
-   * @returns A number between them, both included.
+   * @param min - Lower bound, inclusive.
+   * @param max - Upper bound, inclusive.
+   * @returns A uniformly distributed integer.
    */
-  int(least: number, most: number): number {
-    const [value, next] = prand.uniformIntDistribution(least, most, this.#random);
+  int(min: number, max: number): number {
+    const [value, next] = prand.uniformIntDistribution(min, max, this.#random);
     this.#random = next;
     return value;
   }
 
   /**
-   * Draws whether something happens.
+   * Returns true with the given probability.
    *
-   * @param share - How often, 0 to 1.
-   * @returns Whether it does.
+   * @param probability - Probability, 0 to 1.
+   * @returns Whether the random draw succeeded.
    */
-  chance(share: number): boolean {
-    return this.int(0, 999_999) < share * 1_000_000;
+  chance(probability: number): boolean {
+    return this.int(0, 999_999) < probability * 1_000_000;
   }
 
   /**
-   * Picks one of some things.
+   * Picks a random element.
    *
-   * @param items - At least one thing.
-   * @returns One of them.
+   * @param items - Elements; must not be empty.
+   * @returns One of the elements.
    */
   pick<T>(items: ReadonlyArray<T>): T {
     return items[this.int(0, items.length - 1)] as T;
