--- a/request/_attempts.ts
+++ b/request/_attempts.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the attempts of a request: the first ones, and those for shards that need another.
+ * Sends the attempts of a request: the first calls, hedges and retries.
  *
  * @module
  */
@@ -22,86 +22,94 @@
 type AttemptStep = Step<RequestState, RequestEffect>;
 
 /**
- * Share of the aim that a box near the leafs waits at most before it hands over what has come in. With 0.3
- * the parts of urgent queries came in after their shards had been asked again: 0.147 second calls a
- * shard, 0.120 with 0.2 (600 queries each).
+ * Fraction of the latency objective for which a relaying box collects parts before it sends what it
+ * has.
  */
-const RELAY_PATIENCE_AIM_SHARE = 0.2;
+const RELAY_WAIT_OBJECTIVE_SHARE = 0.2;
 
 /**
- * Time that an order takes there and back beside the patience of the box, in milliseconds: 16 for the way
- * between regions, the rest for both boxes' work. Asked again before, all shards of an order were asked
- * twice just as their parts came in: 0.145 second calls a shard of urgent queries, 0.121 with it.
+ * Allowance for the round trip between regions and for processing in both boxes, in milliseconds.
+ * Hedging earlier would duplicate every shard of a relay request.
  */
-const RELAY_WAY_MS = 25;
+const RELAY_ROUND_TRIP_MS = 25;
 
-/** Share of the aim by which the shards of an order are asked again whatever the way takes. */
-const RELAY_LATEST_AIM_SHARE = 0.55;
+/**
+ * Fraction of the latency objective after which the shards of a relay request may be hedged in any
+ * case.
+ */
+const RELAY_HEDGE_OBJECTIVE_SHARE = 0.55;
 
-/** Least time that an attempt must have before it is worth sending, in milliseconds. */
-const LEAST_ATTEMPT_MS = 10;
+/** Minimum time to the deadline for which an attempt is still sent, in milliseconds. */
+const MIN_ATTEMPT_MS = 10;
 
 /**
- * Makes the first calls; a shard's first arrival is no extra call.
+ * Sends the first call of each shard. First calls are not charged to the budget of extra calls.
  *
  * @param first - The step so far.
- * @param world - The present moment and what the box can choose from.
+ * @param context - Current time, and the leafs and boxes to choose from.
  * @returns The step with the calls.
  */
-export function sendFirstCalls(first: AttemptStep, world: RequestContext): AttemptStep {
-  const plan = planCalls(first.state, world);
-  const waits = queueLoadOf(plan, first.state, world);
-  const refused = refusePlan(first, { plan, queueLoad: waits, world });
+export function sendFirstCalls(first: AttemptStep, context: RequestContext): AttemptStep {
+  const plan = planCalls(first.state, context);
+  const queueLoad = queueLoadOf(plan, first.state, context);
+  const refused = refusePlan(first, { plan, queueLoad, context });
   if (refused !== undefined) {
     return refused;
   }
-  if (world.calling() !== "unrestricted") {
-    return askOneByOne(first, world);
+  if (context.calling() !== "unrestricted") {
+    return deferAllShards(first, context);
   }
-  const crowded = waits.queueMs > waits.mostQueueMs;
+  const congested = queueLoad.queueMs > queueLoad.mostQueueMs;
   const { direct, relays, unserved } = plan;
-  const without = unserved.reduce(failShard, { ...first.state, congested: crowded });
-  const { target } = without.terms.route;
-  if (target.kind === "gather" && !canReachMinShare(without, target)) {
-    // Nothing is sent, so that the refusal can say that the request has not run.
-    return { ...first, state: without };
+  const planned = unserved.reduce(failShard, { ...first.state, congested });
+  const { target } = planned.terms.route;
+  if (target.kind === "gather" && !canReachMinShare(planned, target)) {
+    // Nothing has been sent, so the reply may state that the request has not run.
+    return { ...first, state: planned };
   }
-  const called = forEachStep({ ...first, state: without }, direct, (now, { shardIndex, leaf }) => {
-    return sendAttempt(now, { shardIndex, leaf, world, isTrial: false });
-  });
-  return forEachStep(called, relays, (now, relay) => sendRelay(now, relay, world));
+  const called = forEachStep(
+    { ...first, state: planned },
+    direct,
+    (current, { shardIndex, leaf }) => {
+      return sendAttempt(current, { shardIndex, leaf, context, isTrial: false });
+    },
+  );
+  return forEachStep(called, relays, (current, relay) => sendRelay(current, relay, context));
 }
 
 /**
- * Lets all shards wait for their turn, of which there is one at a time: leafs were lost under the query.
- * The first answer makes it one like any other.
+ * Defers the first call of every shard, so that only one call of a suspected query is in flight at
+ * a time. The restriction ends with the first answer.
  */
-function askOneByOne(first: AttemptStep, world: RequestContext): AttemptStep {
-  return forEachStep(first, first.state.shards.keys(), (now, shardIndex) => {
-    return retryOrDefer(now, { shardIndex, world, kind: "replacement" });
+function deferAllShards(first: AttemptStep, context: RequestContext): AttemptStep {
+  return forEachStep(first, first.state.shards.keys(), (current, shardIndex) => {
+    return retryOrDefer(current, { shardIndex, context, kind: "replacement" });
   });
 }
 
 function sendRelay(
   state: RequestState,
   { box, calls }: RelayCall,
-  world: RequestContext,
+  context: RequestContext,
 ): AttemptStep {
   const attemptId = state.nextAttemptId;
   const { expectedMs } = box;
-  const { objectiveAtMs: aimAtMs, arrivedAtMs, deadlineAtMs } = state.terms;
-  const aimMs = aimAtMs - arrivedAtMs;
-  const waitLimitMs = aimMs * RELAY_PATIENCE_AIM_SHARE;
-  const leastMs = Math.min(aimMs * RELAY_LATEST_AIM_SHARE, waitLimitMs + RELAY_WAY_MS);
+  const { objectiveAtMs, arrivedAtMs, deadlineAtMs } = state.terms;
+  const objectiveMs = objectiveAtMs - arrivedAtMs;
+  const waitLimitMs = objectiveMs * RELAY_WAIT_OBJECTIVE_SHARE;
+  const minHedgeDelayMs = Math.min(
+    objectiveMs * RELAY_HEDGE_OBJECTIVE_SHARE,
+    waitLimitMs + RELAY_ROUND_TRIP_MS,
+  );
   const attempt: Attempt = {
     attemptId,
     calledId: box.box,
-    ...startOf(world),
+    ...startTimes(context),
     expectedMs,
-    minHedgeDelayMs: leastMs,
+    minHedgeDelayMs,
   };
-  const sent = calls.reduce((now, { shardIndex, leaf }) => {
-    return openAttempt(now, { shardIndex, attempt, expectedRelayLeafId: leaf.leafId });
+  const sent = calls.reduce((current, { shardIndex, leaf }) => {
+    return openAttempt(current, { shardIndex, attempt, expectedRelayLeafId: leaf.leafId });
   }, state);
   const relayed = calls.map(({ shardIndex, leaf }) => {
     return { service: state.shards[shardIndex]?.service ?? "", leafId: leaf.leafId };
@@ -114,163 +122,165 @@
       box: box.box,
       calls: relayed,
       deadlineAtMs,
-      waitLimitMs: waitLimitMs,
+      waitLimitMs,
     },
   );
 }
 
-/** A shard that needs another attempt. */
+/** A further attempt to be sent for a shard. */
 export interface ExtraAttempt {
   readonly shardIndex: number;
-  readonly world: RequestContext;
+  readonly context: RequestContext;
   readonly kind: ExtraAttemptKind;
 }
 
 /**
- * Share of the aim after which a shard is asked again that could not be at once: budgets fill up, and
- * leafs that were full or silent may have an answer by then.
+ * Fraction of the latency objective after which a deferred attempt is retried. By then the budget
+ * may have refilled, and busy or unresponsive leafs may have recovered.
  */
-const NEXT_AIM_SHARE = 0.15;
+const DEFER_OBJECTIVE_SHARE = 0.15;
 
 /**
- * Asks another leaf. Where none can be asked at this moment and none is under way, the shard waits for
- * its next turn, so that a query with most of its parts in is not given up at once: after a restart 35
- * of 122 searches of two seconds failed within 80 to 390 ms for three such shards of 20. One that still
- * has no turn twice the aim after its arrival is lost.
+ * Sends another attempt for a shard. If none can be sent now and none is open, the attempt is
+ * deferred, so that a query with most of its parts does not fail early. A shard that still cannot
+ * be called at twice the latency objective fails.
  *
  * @param state - The request.
- * @param asking - The shard, and what the call is for.
- * @returns The request after that, and the call where it was made.
+ * @param extra - The shard, and the purpose of the call.
+ * @returns The updated request, with the call if one was made.
  */
-export function retryOrDefer(state: RequestState, asking: ExtraAttempt): AttemptStep {
-  const { kind, shardIndex, world } = asking;
-  const asked = sendExtraCall(state, asking);
-  const shard = asked.state.shards[shardIndex];
+export function retryOrDefer(state: RequestState, extra: ExtraAttempt): AttemptStep {
+  const { kind, shardIndex, context } = extra;
+  const attempted = sendExtraCall(state, extra);
+  const shard = attempted.state.shards[shardIndex];
   if (shard === undefined || shard.open.length > 0) {
-    return asked;
+    return attempted;
   }
-  const { objectiveAtMs: aimAtMs, arrivedAtMs, maxAttempts, route } = state.terms;
-  const aimMs = aimAtMs - arrivedAtMs;
-  const atMs = world.nowMs + aimMs * NEXT_AIM_SHARE;
-  const calling = world.calling();
-  const mayWait =
+  const { objectiveAtMs, arrivedAtMs, maxAttempts, route } = state.terms;
+  const objectiveMs = objectiveAtMs - arrivedAtMs;
+  const atMs = context.nowMs + objectiveMs * DEFER_OBJECTIVE_SHARE;
+  const calling = context.calling();
+  const mayDefer =
     (route.target.kind === "gather" || (route.repeatable && calling === "deferred")) &&
     calling !== "blocked" &&
     shard.runs < maxAttempts &&
-    shard.refusedBy.length < MOST_REFUSALS &&
-    atMs < aimAtMs + aimMs;
-  const waiting = mayWait
-    ? updateShard(asked.state, shardIndex, (now) => ({ ...now, next: { atMs, kind } }))
-    : failShard(asked.state, shardIndex);
-  return { ...asked, state: waiting };
+    shard.refusedBy.length < MAX_REFUSALS &&
+    atMs < objectiveAtMs + objectiveMs;
+  const updated = mayDefer
+    ? updateShard(attempted.state, shardIndex, (current) => ({ ...current, next: { atMs, kind } }))
+    : failShard(attempted.state, shardIndex);
+  return { ...attempted, state: updated };
 }
 
 /**
- * Asks another leaf, if the route, the time left and the budget allow it; else leaves all as is.
+ * Sends another attempt for a shard if the route, the remaining time and the budget allow it;
+ * otherwise returns the request unchanged.
  *
  * @param state - The request.
- * @param asking - The shard, and what the call is for.
- * @returns The request after that, and the call.
+ * @param extra - The shard, and the purpose of the call.
+ * @returns The updated request, with the call if one was made.
  */
 export function sendExtraCall(
   state: RequestState,
-  { shardIndex, world, kind }: ExtraAttempt,
+  { shardIndex, context, kind }: ExtraAttempt,
 ): AttemptStep {
   const shard = state.shards[shardIndex];
   const { terms } = state;
-  const hasTime = terms.deadlineAtMs - world.nowMs >= LEAST_ATTEMPT_MS;
+  const hasTime = terms.deadlineAtMs - context.nowMs >= MIN_ATTEMPT_MS;
   if (shard === undefined || shard.runs >= terms.maxAttempts || !hasTime) {
     return step(state);
   }
-  const leaf = chooseAnother(shard, world) ?? chooseRefusing(state, shard, world);
-  const isForTime = kind === "hedge" || shard.refusedBy.length > 1;
-  if (leaf === undefined || (isForTime && isInVain(state, leaf))) {
+  const leaf = chooseUncalledLeaf(shard, context) ?? chooseRefusingLeaf(state, shard, context);
+  const isHedging = kind === "hedge" || shard.refusedBy.length > 1;
+  if (leaf === undefined || (isHedging && wouldLengthenQueues(state, leaf))) {
     return step(state);
   }
-  const calling = world.calling();
+  const calling = context.calling();
   if (calling === "deferred" || calling === "blocked") {
     return step(state);
   }
-  if (kind !== "replacement" && !world.takeExtraCall(shard.service, budgetKind(state, kind))) {
+  if (kind !== "replacement" && !context.takeExtraCall(shard.service, chargedKind(state, kind))) {
     return step(state);
   }
-  return sendAttempt(state, { shardIndex, leaf, world, isTrial: calling === "exclusive" });
+  return sendAttempt(state, { shardIndex, leaf, context, isTrial: calling === "exclusive" });
 }
 
 /**
- * Whether a second call would only lengthen queues that are long all over. Where they are not, one leaf's
- * queue is no reason: of a shard whose leafs are held by long lookups half of the queries had no second
- * call for it and lacked it.
+ * Whether a call would only add to queues that are long at most leafs. A long queue at a single
+ * leaf is no reason to withhold the call, since the shard would then be missing from the answer.
  */
-function isInVain({ congested: crowded, terms }: RequestState, { queueMs }: LeafChoice): boolean {
-  return crowded && queueMs > terms.maxQueueMs;
+function wouldLengthenQueues({ congested, terms }: RequestState, { queueMs }: LeafChoice): boolean {
+  return congested && queueMs > terms.maxQueueMs;
 }
 
 /**
- * A retry that only makes an answer more complete leaves to others what hedges must leave over as well:
- * those that would have no answer at all.
+ * Returns the budget that pays for a call. A retry that only makes the answer more complete is
+ * charged as a hedge, which leaves part of the budget to requests that would otherwise have no
+ * answer.
  */
-function budgetKind(state: RequestState, kind: ExtraCallKind): ExtraCallKind {
+function chargedKind(state: RequestState, kind: ExtraCallKind): ExtraCallKind {
   return kind === "retry" && openCallsReachMinShare(state) ? "hedge" : kind;
 }
 
+/** Refusals of a shard after which leafs that refused it are not called again. */
+const MAX_REFUSALS = 4;
+
 /**
- * Refusals of a shard after which leafs that refused are not asked again. Leafs that refuse nearly half
- * of their calls at random have answered by then in 19 of 20 cases.
+ * Selects a leaf that has not been called. The leaf that a relaying box was expected to call is
+ * selected only if no other is left.
  */
-const MOST_REFUSALS = 4;
-
-/** Picks a leaf that was not asked; at last the one that another box was to ask and may not have. */
-function chooseAnother(
-  { service, calledLeafIds: asked, expectedRelayLeafId: expectedOfBox }: ShardState,
-  world: RequestContext,
+function chooseUncalledLeaf(
+  { service, calledLeafIds, expectedRelayLeafId }: ShardState,
+  context: RequestContext,
 ): LeafChoice | undefined {
-  if (expectedOfBox === undefined) {
-    return world.chooseLeaf(service, asked);
+  if (expectedRelayLeafId === undefined) {
+    return context.chooseLeaf(service, calledLeafIds);
   }
-  const another = world.chooseLeaf(service, new Set(asked).add(expectedOfBox));
-  return another ?? world.chooseLeaf(service, asked);
+  const uncalled = context.chooseLeaf(service, new Set(calledLeafIds).add(expectedRelayLeafId));
+  return uncalled ?? context.chooseLeaf(service, calledLeafIds);
 }
 
 /**
- * Picks a leaf that refused, where no other is left: without the shard the work of all others may be in
- * vain. A request to a single leaf is refused at once, as nothing has run for it.
+ * Selects a leaf that refused an earlier call if no other is left, since a missing shard can make
+ * the whole query fail. Requests to a single leaf are refused immediately instead, as nothing has
+ * run for them.
  */
-function chooseRefusing(
+function chooseRefusingLeaf(
   { terms }: RequestState,
-  { calledLeafIds: asked, refusedBy, service }: ShardState,
-  world: RequestContext,
+  { calledLeafIds, refusedBy, service }: ShardState,
+  context: RequestContext,
 ): LeafChoice | undefined {
-  const isTooOften = refusedBy.length === 0 || refusedBy.length >= MOST_REFUSALS;
-  if (isTooOften || terms.route.target.kind !== "gather") {
+  const mayNotRetry = refusedBy.length === 0 || refusedBy.length >= MAX_REFUSALS;
+  if (mayNotRetry || terms.route.target.kind !== "gather") {
     return undefined;
   }
-  const answering = [...asked].filter((leafId) => !refusedBy.includes(leafId));
-  return world.chooseLeaf(service, new Set(answering));
+  const excluded = [...calledLeafIds].filter((leafId) => !refusedBy.includes(leafId));
+  return context.chooseLeaf(service, new Set(excluded));
 }
 
 interface SentCall {
   readonly shardIndex: number;
   readonly leaf: LeafChoice;
-  readonly world: RequestContext;
+  readonly context: RequestContext;
   readonly isTrial: boolean;
 }
 
 function sendAttempt(
   state: RequestState,
-  { shardIndex, leaf, world, isTrial }: SentCall,
+  { shardIndex, leaf, context, isTrial }: SentCall,
 ): AttemptStep {
   const attemptId = state.nextAttemptId;
   const { leafId, expectedMs } = leaf;
   if (isTrial) {
-    world.beginTrial();
+    context.beginTrial();
   }
-  // Another box would send it by its own belief, and the trial would not be known to be the only call.
+  // A relaying box decides by its own quarantine state, so the probe could not be guaranteed to be
+  // the only call.
   const relayPlace = isTrial ? undefined : leaf.relayPlace;
   const attempt: Attempt = {
     attemptId,
     calledId: leafId,
-    ...startOf(world),
+    ...startTimes(context),
     expectedMs,
     minHedgeDelayMs: 0,
   };
@@ -282,9 +292,9 @@
   );
 }
 
-function startOf({
+function startTimes({
   nowMs,
-  eventLoopIdleMs: waitedMs,
-}: RequestContext): Pick<Attempt, "startedAtMs" | "startedAtWaitedMs"> {
-  return { startedAtMs: nowMs, startedAtWaitedMs: waitedMs };
+  eventLoopIdleMs,
+}: RequestContext): Pick<Attempt, "startedAtMs" | "startedAtIdleMs"> {
+  return { startedAtMs: nowMs, startedAtIdleMs: eventLoopIdleMs };
 }
--- a/request/_completion.ts
+++ b/request/_completion.ts
@@ -1,5 +1,5 @@
 /**
- * Judges whether a request can be answered, and with what.
+ * Decides whether a request can be answered, and builds its reply.
  *
  * @module
  */
@@ -10,21 +10,22 @@
 import type { Reply, RequestEffect, RequestState } from "./request_state.js";
 
 /**
- * When a request that could not be offered to a leaf may be asked again, in milliseconds: entries that
- * lapsed while the store was away come back within two seconds, most of them sooner.
+ * Retry delay for a request that could not be sent to any leaf, in milliseconds. Leaf entries that
+ * expired while the store was unreachable are back within two seconds.
  */
 const NO_LEAF_RETRY_MS = 500;
 
-type JudgedStep = Step<RequestState, RequestEffect>;
+type ReplyStep = Step<RequestState, RequestEffect>;
 
 /**
- * Answers a request if nothing better is to come: all shards are settled, or the aim has passed and
- * the least share is in.
+ * Replies to a request if waiting cannot improve the answer: all shards are settled, the minimum
+ * share of parts can no longer be reached, or it has been reached and either the latency objective
+ * has passed or `finishShare` of the parts has been received.
  *
  * @param state - The request so far.
- * @returns The request, with its reply where there is one.
+ * @returns The request, with its reply if there is one.
  */
-export function replyIfDecided(state: RequestState): JudgedStep {
+export function replyIfDecided(state: RequestState): ReplyStep {
   if (state.done) {
     return step(state);
   }
@@ -32,27 +33,27 @@
   const { target } = state.terms.route;
   const suffices =
     target.kind === "gather" &&
-    hasLeastShare(state, target) &&
+    hasMinShare(state, target) &&
     (state.pastObjective || state.partsIn >= state.terms.finishShare * state.shards.length);
-  const hopeless = target.kind === "gather" && !canReachMinShare(state, target);
-  return settled || suffices || hopeless ? finish(state, finalReply(state)) : step(state);
+  const infeasible = target.kind === "gather" && !canReachMinShare(state, target);
+  return settled || suffices || infeasible ? finish(state, finalReply(state)) : step(state);
 }
 
 /**
- * Answers a request whose time is up with what is in.
+ * Replies to a request at its deadline with the parts received so far.
  *
  * @param state - The request so far.
  * @returns The request with its reply.
  */
-export function replyAtDeadline(state: RequestState): JudgedStep {
-  return finish(state, finalReply(state, { timeIsUp: true }));
+export function replyAtDeadline(state: RequestState): ReplyStep {
+  return finish(state, finalReply(state, { isAtDeadline: true }));
 }
 
 /**
- * Calls that are still open are let run where they have been sent: they end soon, and breaking one off
- * costs its connection. Those that still wait for a connection would only keep leafs from other work.
+ * Ends a request. Calls that have been sent are left to complete, because aborting one would close
+ * its connection. Calls that still wait for a connection are withdrawn.
  */
-function finish(state: RequestState, reply: Reply): JudgedStep {
+function finish(state: RequestState, reply: Reply): ReplyStep {
   const withdrawals = openAttemptsOf(state).map((attemptId): RequestEffect => {
     return { kind: "withdraw", attemptId };
   });
@@ -65,15 +66,17 @@
 
 function finalReply(
   state: RequestState,
-  { timeIsUp = false }: { readonly timeIsUp?: boolean } = {},
+  { isAtDeadline = false }: { readonly isAtDeadline?: boolean } = {},
 ): Reply {
   const { target } = state.terms.route;
   if (target.kind === "gather") {
-    return hasLeastShare(state, target) ? mergedReply(state, target) : unanswered(state, timeIsUp);
+    return hasMinShare(state, target)
+      ? mergedReply(state, target)
+      : failureReply(state, isAtDeadline);
   }
   const shard = state.shards[0];
   const answer = shard?.part ?? shard?.errorAnswer;
-  return answer === undefined ? unanswered(state, timeIsUp) : passedReply(answer);
+  return answer === undefined ? failureReply(state, isAtDeadline) : passedReply(answer);
 }
 
 function passedReply(answer: NonNullable<RequestState["shards"][number]["part"]>): Reply {
@@ -103,35 +106,35 @@
   };
 }
 
-function unanswered(state: RequestState, timeIsUp: boolean): Reply {
+function failureReply(state: RequestState, isAtDeadline: boolean): Reply {
   const mayHaveRun = state.shards.some(({ runs }) => runs > 0);
   if (!mayHaveRun) {
     return { kind: "notRun", reason: "no leaf can be asked", retryAfterMs: NO_LEAF_RETRY_MS };
   }
-  return { kind: "failed", reason: timeIsUp ? "deadline" : "leafs failed" };
+  return { kind: "failed", reason: isAtDeadline ? "deadline" : "leafs failed" };
 }
 
-function hasLeastShare(state: RequestState, target: GatherTarget): boolean {
+function hasMinShare(state: RequestState, target: GatherTarget): boolean {
   return state.partsIn > 0 && state.partsIn >= minParts(state, target);
 }
 
 /**
- * Tells whether a gathered request can still be answered with success.
+ * Returns whether a gathered request can still succeed.
  *
  * @param state - The request.
- * @param target - What it gathers.
- * @returns Whether enough shards are not lost.
+ * @param target - The shards and the minimum share of parts.
+ * @returns Whether enough shards have not failed.
  */
 export function canReachMinShare(state: RequestState, target: GatherTarget): boolean {
   return state.shards.length - state.partsLost >= Math.max(1, minParts(state, target));
 }
 
 /**
- * Tells whether the parts that are in and those that are under way suffice, so that a shard with
- * neither only makes the answer more complete.
+ * Returns whether the received parts and the open calls suffice for the minimum share, so that a
+ * further call would only make the answer more complete.
  *
  * @param state - The request.
- * @returns Whether they reach the least share; never for a request to a single leaf.
+ * @returns Whether they suffice; always false for a request to a single leaf.
  */
 export function openCallsReachMinShare(state: RequestState): boolean {
   const { target } = state.terms.route;
@@ -145,11 +148,11 @@
 }
 
 /**
- * Tells how many parts an answer must have. Slightly less than the product is rounded up, so that 0.89 of
- * 100 parts is 89 parts.
+ * Computes the minimum number of parts of an answer. The tolerance absorbs floating-point error, so
+ * that 0.89 of 100 parts is 89 parts.
  *
  * @param state - The request.
- * @param target - What it gathers.
+ * @param target - The minimum share of parts.
  * @returns The number of parts.
  */
 export function minParts(
--- a/request/_outcomes.ts
+++ b/request/_outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * Takes in how attempts ended, and tries again where that may help.
+ * Applies the outcomes of attempts, and retries where that may help.
  *
  * @module
  */
@@ -21,15 +21,15 @@
   readonly shardIndex: number;
   readonly attemptId: number;
   readonly outcome: Outcome;
-  readonly world: RequestContext;
+  readonly context: RequestContext;
 }
 
 /**
- * Ends an attempt for one shard and takes in how it ended.
+ * Ends an attempt for one shard and applies its outcome.
  *
  * @param state - The request.
- * @param ended - The attempt's end.
- * @returns The request after that, with another call where one may help.
+ * @param ended - The attempt and its outcome.
+ * @returns The updated request, with another call if one may help.
  */
 export function applyOutcome(
   state: RequestState,
@@ -41,63 +41,63 @@
     return step(endAttempt(state, shardIndex, attemptId));
   }
   if (outcome.kind === "answered" && isUsable(state, outcome.answer)) {
-    return step(takePart(state, ended, outcome.answer));
+    return step(addPart(state, ended, outcome.answer));
   }
-  const asked = shard.open.find((attempt) => attempt.attemptId === attemptId)?.calledId;
+  const calledId = shard.open.find((attempt) => attempt.attemptId === attemptId)?.calledId;
   const without = endAttempt(state, shardIndex, attemptId);
   const handler = OUTCOME_HANDLERS[outcome.kind] as OutcomeHandler<AttemptOutcome>;
-  return handler(without, { ...ended, asked });
+  return handler(without, { ...ended, calledId });
 }
 
-/** The usual way, so the shard is changed but once. */
-function takePart(
+/** Adds a part. This is the common path, so the shard is copied only once. */
+function addPart(
   state: RequestState,
   { attemptId, shardIndex }: EndedAttempt<AttemptOutcome>,
   part: LeafAnswer,
 ): RequestState {
-  const taken = updateShard(state, shardIndex, (shard) => {
+  const added = updateShard(state, shardIndex, (shard) => {
     const open = shard.open.filter((attempt) => attempt.attemptId !== attemptId);
     return { ...shard, open, part };
   });
-  return { ...taken, partsIn: state.partsIn + 1 };
+  return { ...added, partsIn: state.partsIn + 1 };
 }
 
-/** An attempt that brought no part, with the leaf or box that was asked. */
-interface FruitlessAttempt<Outcome> extends EndedAttempt<Outcome> {
-  readonly asked: string | undefined;
+/** An attempt that yielded no part, with the leaf or box that was called. */
+interface FailedAttempt<Outcome> extends EndedAttempt<Outcome> {
+  readonly calledId: string | undefined;
 }
 
-type OutcomeHandler<Outcome> = (
-  state: RequestState,
-  ended: FruitlessAttempt<Outcome>,
-) => OutcomeStep;
+type OutcomeHandler<Outcome> = (state: RequestState, ended: FailedAttempt<Outcome>) => OutcomeStep;
 
 const OUTCOME_HANDLERS: {
   readonly [K in AttemptOutcome["kind"]]: OutcomeHandler<
     Extract<AttemptOutcome, { readonly kind: K }>
   >;
 } = {
-  answered: (state, { shardIndex, outcome, world }) => {
-    const failure = outcome.answer;
-    const kept = updateShard(state, shardIndex, (shard) => ({ ...shard, errorAnswer: failure }));
-    return recover(kept, { shardIndex, world, mayRepeat: state.terms.route.repeatable });
+  answered: (state, { shardIndex, outcome, context }) => {
+    const errorAnswer = outcome.answer;
+    const recorded = updateShard(state, shardIndex, (shard) => ({ ...shard, errorAnswer }));
+    return retryOrFail(recorded, { shardIndex, context, mayRepeat: state.terms.route.repeatable });
   },
-  refused: (state, { shardIndex, world, asked = "" }) => {
+  refused: (state, { shardIndex, context, calledId = "" }) => {
     const notRun = updateShard(state, shardIndex, (shard) => {
-      return { ...shard, runs: shard.runs - 1, refusedBy: [...shard.refusedBy, asked] };
+      return { ...shard, runs: shard.runs - 1, refusedBy: [...shard.refusedBy, calledId] };
     });
-    return recover(notRun, { shardIndex, world, mayRepeat: true });
+    return retryOrFail(notRun, { shardIndex, context, mayRepeat: true });
   },
-  failed: (state, { shardIndex, outcome, world }) => {
+  failed: (state, { shardIndex, outcome, context }) => {
     if (outcome.sent) {
-      return recover(state, { shardIndex, world, mayRepeat: state.terms.route.repeatable });
+      return retryOrFail(state, { shardIndex, context, mayRepeat: state.terms.route.repeatable });
     }
     const notSent = updateShard(state, shardIndex, (shard) => ({ ...shard, runs: shard.runs - 1 }));
-    return recover(notSent, { shardIndex, world, mayRepeat: true, kind: "replacement" });
+    return retryOrFail(notSent, { shardIndex, context, mayRepeat: true, kind: "replacement" });
   },
 };
 
-/** A success with a signature; requests to a single leaf also take what a leaf says is the caller's fault. */
+/**
+ * Whether an answer can be used: a success with a signature. A request to a single leaf also passes
+ * on client errors (4xx).
+ */
 function isUsable(
   state: RequestState,
   { statusCode, signature }: { readonly statusCode: number; readonly signature: string },
@@ -108,22 +108,22 @@
   return state.terms.route.target.kind === "single" && statusCode < 500;
 }
 
-interface Recovery {
+interface RetryOptions {
   readonly shardIndex: number;
-  readonly world: RequestContext;
-  /** Whether the shard may be asked again at all. */
+  readonly context: RequestContext;
+  /** Whether the shard may be called again. */
   readonly mayRepeat: boolean;
-  /** What the next call would be for; a retry by default. */
+  /** Purpose of the next call; a retry by default. */
   readonly kind?: ExtraAttempt["kind"];
 }
 
-/** Asks again after an attempt came to nothing; a shard that cannot be asked again is lost. */
-function recover(
+/** Retries after a failed attempt. A shard that cannot be called again fails. */
+function retryOrFail(
   state: RequestState,
-  { shardIndex, world, mayRepeat, kind = "retry" }: Recovery,
+  { shardIndex, context, mayRepeat, kind = "retry" }: RetryOptions,
 ): OutcomeStep {
   if (mayRepeat) {
-    return retryOrDefer(state, { shardIndex, world, kind });
+    return retryOrDefer(state, { shardIndex, context, kind });
   }
   const open = state.shards[shardIndex]?.open ?? [];
   return step(open.length > 0 ? state : failShard(state, shardIndex));
--- a/request/_plan.ts
+++ b/request/_plan.ts
@@ -1,24 +1,25 @@
 /**
- * Plans the first calls of a request: leafs near this box directly, those of another data centre or
- * region through one box there, which merges, so that few bytes pass between them.
+ * Plans the first calls of a request. Leafs near this box are called directly. Leafs in another
+ * data centre or region are called through one box there, which merges their parts to save
+ * bandwidth.
  *
  * @module
  */
 import type { BoxChoice, LeafChoice, RequestContext, RequestState } from "./request_state.js";
 
-/** Fewest shards that are asked through another box; for one alone there is nothing to merge. */
-const LEAST_RELAYED = 2;
+/** Minimum number of shards that are called through another box. A single part needs no merging. */
+const MIN_RELAYED_SHARDS = 2;
 
-/** A leaf that is asked directly. */
+/** A leaf that is called directly. */
 export interface DirectCall {
   readonly shardIndex: number;
   readonly leaf: LeafChoice;
 }
 
-/** Shards that are asked through one box. */
+/** Shards that are called through one box. */
 export interface RelayCall {
   readonly box: BoxChoice;
-  /** Each shard with the leaf that the box is expected to ask. */
+  /** Each shard with the leaf that the box is expected to call. */
   readonly calls: ReadonlyArray<DirectCall>;
 }
 
@@ -26,7 +27,7 @@
 export interface CallPlan {
   readonly direct: ReadonlyArray<DirectCall>;
   readonly relays: ReadonlyArray<RelayCall>;
-  /** Shards that no leaf can be asked for. */
+  /** Shards without any leaf that can be called. */
   readonly unserved: ReadonlyArray<number>;
 }
 
@@ -34,27 +35,27 @@
  * Plans the first calls.
  *
  * @param state - The request before anything was sent.
- * @param world - What the box can choose from.
- * @returns The plan; each shard stands in it once.
+ * @param context - The leafs and boxes to choose from.
+ * @returns The plan, which contains each shard once.
  */
-export function planCalls(state: RequestState, world: RequestContext): CallPlan {
+export function planCalls(state: RequestState, context: RequestContext): CallPlan {
   const unserved: Array<number> = [];
-  const near: Array<DirectCall> = [];
-  const far: Array<FarShard> = [];
+  const local: Array<DirectCall> = [];
+  const remote: Array<RemoteShard> = [];
   state.shards.forEach((shard, shardIndex) => {
-    const leaf = world.chooseLeaf(shard.service, shard.calledLeafIds);
+    const leaf = context.chooseLeaf(shard.service, shard.calledLeafIds);
     if (leaf === undefined) {
       unserved.push(shardIndex);
     } else if (leaf.relayPlace === undefined) {
-      near.push({ shardIndex, leaf });
+      local.push({ shardIndex, leaf });
     } else {
-      far.push({ shardIndex, choices: farChoices(leaf, shard.service, world) });
+      remote.push({ shardIndex, choices: remoteChoices(leaf, shard.service, context) });
     }
   });
-  const direct = near;
+  const direct = local;
   const relays: Array<RelayCall> = [];
-  for (const [place, calls] of gatherByPlace(far)) {
-    const box = calls.length < LEAST_RELAYED ? undefined : world.chooseBox(place);
+  for (const [place, calls] of groupByPlace(remote)) {
+    const box = calls.length < MIN_RELAYED_SHARDS ? undefined : context.chooseBox(place);
     if (box === undefined) {
       direct.push(...calls);
     } else {
@@ -64,43 +65,46 @@
   return { direct, relays, unserved };
 }
 
-/** A shard without a leaf near, and the leafs that come into question, best first. */
-interface FarShard {
+/** A shard without a leaf nearby, and its candidate leafs, best first. */
+interface RemoteShard {
   readonly shardIndex: number;
   readonly choices: ReadonlyArray<LeafChoice>;
 }
 
 /**
- * How much slower than the best one a leaf may be, as a factor, to be asked for the sake of its
- * region: fewer boxes asked are fewer bytes between regions.
+ * Maximum slowdown, as a factor of the best leaf's expected time, at which another leaf is
+ * preferred for its location. Calls to fewer locations need less bandwidth between regions.
  */
-const MOST_SLOWER = 1.5;
+const MAX_SLOWDOWN_FACTOR = 1.5;
 
-function farChoices(
+function remoteChoices(
   best: LeafChoice,
   service: string,
-  world: RequestContext,
+  context: RequestContext,
 ): ReadonlyArray<LeafChoice> {
-  const second = world.chooseLeaf(service, new Set([best.leafId]));
-  const isEqual =
-    second?.relayPlace !== undefined && second.expectedMs <= best.expectedMs * MOST_SLOWER;
-  return isEqual ? [best, second] : [best];
+  const second = context.chooseLeaf(service, new Set([best.leafId]));
+  const isComparable =
+    second?.relayPlace !== undefined && second.expectedMs <= best.expectedMs * MAX_SLOWDOWN_FACTOR;
+  return isComparable ? [best, second] : [best];
 }
 
-/** Puts shards that can go to several places where the most of the others go. */
-function gatherByPlace(
-  far: ReadonlyArray<FarShard>,
+/**
+ * Groups shards by location. A shard with leafs in several locations joins the one that most other
+ * shards use.
+ */
+function groupByPlace(
+  remote: ReadonlyArray<RemoteShard>,
 ): ReadonlyMap<string, ReadonlyArray<DirectCall>> {
   const scores = new Map<string, number>();
-  for (const { choices } of far) {
+  for (const { choices } of remote) {
     for (const { relayPlace = "", expectedMs } of choices) {
       scores.set(relayPlace, (scores.get(relayPlace) ?? 0) + 1 / Math.max(1, expectedMs));
     }
   }
-  const [main] = [...scores].sort(([, a], [, b]) => b - a)[0] ?? [];
+  const [mainPlace] = [...scores].sort(([, a], [, b]) => b - a)[0] ?? [];
   const groups = new Map<string, Array<DirectCall>>();
-  for (const { shardIndex, choices } of far) {
-    const leaf = choices.find(({ relayPlace }) => relayPlace === main) ?? choices[0];
+  for (const { shardIndex, choices } of remote) {
+    const leaf = choices.find(({ relayPlace }) => relayPlace === mainPlace) ?? choices[0];
     if (leaf?.relayPlace !== undefined) {
       const group = groups.get(leaf.relayPlace) ?? [];
       groups.set(leaf.relayPlace, [...group, { shardIndex, leaf }]);
--- a/request/_refusals.ts
+++ b/request/_refusals.ts
@@ -1,6 +1,6 @@
 /**
- * Refuses a query before anything is sent for it, so that it is true that it has not run: where its leafs
- * are overloaded, or too many of its calls will be lost.
+ * Refuses a query before any call is sent, so that the reply may state that it has not run: if its
+ * leafs are overloaded, or if too many of its calls are expected to fail.
  *
  * @module
  */
@@ -20,77 +20,81 @@
 type RefusedStep = Step<RequestState, RequestEffect>;
 
 /**
- * Tells the queues at the leafs that a query would be sent to; a request to a single leaf looks at none.
+ * Measures the queues at the leafs that a query would be sent to. Requests to a single leaf are not
+ * measured.
  *
  * @param plan - The first calls.
  * @param state - The request.
- * @param world - Notes the queues, by which the next queries are judged as well.
- * @returns The queues, and the longest wait that the request could bear.
+ * @param context - Records the queues for later queries.
+ * @returns The expected queue waits, and the maximum that the request accepts.
  */
 export function queueLoadOf(
   plan: CallPlan,
   { shards, terms }: RequestState,
-  world: RequestContext,
+  context: RequestContext,
 ): Overload {
   const { maxQueueMs: mostQueueMs } = terms;
   if (terms.route.target.kind !== "gather") {
     return { mostQueueMs, queueMs: 0, standingMs: 0 };
   }
   const queueMs = queueQuantileMs(callsOf(plan).map(({ leaf }) => leaf.queueMs));
-  const standingMs = world.noteQueue(shards[0]?.service ?? "", queueMs);
+  const standingMs = context.noteQueue(shards[0]?.service ?? "", queueMs);
   return { mostQueueMs, queueMs, standingMs };
 }
 
-/** What is known of a query that is to begin. */
+/** A planned query that has not been started. */
 export interface PlannedQuery {
   readonly plan: CallPlan;
   readonly queueLoad: Overload;
-  readonly world: RequestContext;
+  readonly context: RequestContext;
 }
 
 /**
- * Refuses a query that had better not be begun.
+ * Refuses a query that should not be started.
  *
  * @param first - The step so far.
- * @param planned - The first calls, the queues they would meet, and what the box knows.
- * @returns The step with the refusal; nothing where the query is to begin.
+ * @param planned - The first calls, the queues at their leafs, and the decision's context.
+ * @returns The step with the refusal, or `undefined` if the query is to be started.
  */
 export function refusePlan(
   first: RefusedStep,
-  { plan, queueLoad: waits, world }: PlannedQuery,
+  { plan, queueLoad, context }: PlannedQuery,
 ): RefusedStep | undefined {
-  if (world.calling() === "blocked") {
+  if (context.calling() === "blocked") {
     return refuse(first, {
       reason: "leafs were lost under it",
-      retryAfterMs: world.blockedForMs(),
+      retryAfterMs: context.blockedForMs(),
     });
   }
-  if (findOverload(waits) !== undefined) {
+  if (findOverload(queueLoad) !== undefined) {
     return refuse(first, {
       reason: "leafs are overloaded",
-      retryAfterMs: overloadRetryMs(waits),
-      overload: waits,
+      retryAfterMs: overloadRetryMs(queueLoad),
+      overload: queueLoad,
     });
   }
-  const shortfall = shortfallOf(plan, first.state, world);
+  const shortfall = shortfallOf(plan, first.state, context);
   if (shortfall === undefined) {
     return undefined;
   }
   const reason = "too many parts would be lost";
-  return refuse(first, { reason, retryAfterMs: HOPELESS_RETRY_MS, shortfall });
+  return refuse(first, { reason, retryAfterMs: INFEASIBLE_RETRY_MS, shortfall });
 }
 
 /**
- * When a query may come back that was refused for the losses of its leafs, in milliseconds: what is known of
- * losses fades within three seconds, and budgets refill all the while.
+ * Retry delay for a query refused for its leafs' failure rates, in milliseconds. Failure rates
+ * decay within three seconds, and the budgets of extra calls refill continuously.
  */
-const HOPELESS_RETRY_MS = 500;
+const INFEASIBLE_RETRY_MS = 500;
 
-/** Finds whether so many of the planned calls will come to nothing that the least share is not to be expected. */
+/**
+ * Checks whether so many planned calls are expected to fail that the minimum share is unlikely to
+ * be reached.
+ */
 function shortfallOf(
   plan: CallPlan,
   { shards, terms }: RequestState,
-  world: RequestContext,
+  context: RequestContext,
 ): PartsShortfall | undefined {
   const { target } = terms.route;
   if (target.kind !== "gather") {
@@ -98,7 +102,7 @@
   }
   const chances = callsOf(plan).map(({ leaf, shardIndex }) => ({
     failureRate: leaf.failureRate,
-    extraCallsLeft: world.extraCallsLeft(shards[shardIndex]?.service ?? ""),
+    extraCallsLeft: context.extraCallsLeft(shards[shardIndex]?.service ?? ""),
   }));
   return findShortfall(chances, minParts({ shards }, target));
 }
--- a/request/_relayed_parts.ts
+++ b/request/_relayed_parts.ts
@@ -1,17 +1,17 @@
 /**
- * Takes in the parts that another box has merged.
+ * Applies parts that another box has merged.
  *
  * @module
  */
 import type { RelayedParts, RequestState } from "./request_state.js";
 
 /**
- * Takes parts that another box has merged. They cannot be told apart any more, so they go before a
- * part of the same shard that came in by itself.
+ * Adds parts that another box has merged. Merged parts cannot be separated, so they replace a part
+ * of the same shard that was received directly.
  *
  * @param state - The request.
  * @param parts - The parts.
- * @returns The request after that.
+ * @returns The updated request.
  */
 export function applyRelayedParts(state: RequestState, parts: RelayedParts): RequestState {
   const wasRelayed = state.shards.some(({ service, relayed }) => {
--- a/request/_remote_calls.ts
+++ b/request/_remote_calls.ts
@@ -1,6 +1,6 @@
 /**
- * Sends calls to leafs elsewhere through one box near them: it sends back only the records that
- * can still be among the greatest, which is a fraction of a part's bytes.
+ * Batches calls to remote leafs into one request to a box near them. That box returns only records
+ * that can still be in the result, which saves bandwidth.
  *
  * @module
  */
@@ -8,45 +8,45 @@
 import { recordThreshold } from "./record_threshold.js";
 import type { RemoteCall, RequestContext, RequestEffect, RequestState } from "./request_state.js";
 
-type FarStep = Step<RequestState, RequestEffect>;
+type RemoteStep = Step<RequestState, RequestEffect>;
 type CallEffect = Extract<RequestEffect, { readonly kind: "call" }>;
 
 /**
- * Turns the calls to leafs elsewhere in a step into orders to boxes near them, one a place. Calls to a
- * place without a box to rely on stay as they are.
+ * Replaces a step's calls to remote leafs by relay requests, one for each location. Calls to a
+ * location without an available box are left unchanged.
  *
- * @param made - The step with its calls.
- * @param world - What the box can choose from.
- * @returns The step with orders in place of calls.
+ * @param planned - The step with its calls.
+ * @param context - The boxes to choose from.
+ * @returns The step with relay requests in place of calls.
  */
-export function batchRemoteCalls(made: FarStep, world: RequestContext): FarStep {
-  const { state, effects } = made;
+export function batchRemoteCalls(planned: RemoteStep, context: RequestContext): RemoteStep {
+  const { state, effects } = planned;
   const { target } = state.terms.route;
-  if (target.kind !== "gather" || !effects.some(isFar)) {
-    return made;
+  if (target.kind !== "gather" || !effects.some(isRemote)) {
+    return planned;
   }
-  const places = groupByPlace(effects.filter(isFar));
-  const orders: Array<RequestEffect> = [];
-  const bundled = new Set<RequestEffect>();
-  const leastRecord = recordThreshold(lastingParts(state), target);
+  const places = groupByPlace(effects.filter(isRemote));
+  const relayRequests: Array<RequestEffect> = [];
+  const batched = new Set<RequestEffect>();
+  const minRecord = recordThreshold(finalParts(state), target);
   for (const [place, calls] of places) {
-    const box = world.chooseBox(place);
+    const box = context.chooseBox(place);
     if (box !== undefined) {
       const { deadlineAtMs } = state.terms;
-      const far = calls.map((call) => farCall(state, call));
-      orders.push({
+      const remoteCalls = calls.map((call) => toRemoteCall(state, call));
+      relayRequests.push({
         kind: "askThrough",
         box: box.box,
-        calls: far,
-        minRecord: leastRecord,
+        calls: remoteCalls,
+        minRecord,
         deadlineAtMs,
       });
       for (const call of calls) {
-        bundled.add(call);
+        batched.add(call);
       }
     }
   }
-  return step(state, ...effects.filter((effect) => !bundled.has(effect)), ...orders);
+  return step(state, ...effects.filter((effect) => !batched.has(effect)), ...relayRequests);
 }
 
 function groupByPlace(
@@ -60,21 +60,24 @@
   return places;
 }
 
-function isFar(effect: RequestEffect): effect is CallEffect {
+function isRemote(effect: RequestEffect): effect is CallEffect {
   return effect.kind === "call" && effect.relayPlace !== undefined;
 }
 
-function farCall(state: RequestState, { attemptId, shardIndex, leafId }: CallEffect): RemoteCall {
+function toRemoteCall(
+  state: RequestState,
+  { attemptId, shardIndex, leafId }: CallEffect,
+): RemoteCall {
   return { attemptId, service: state.shards[shardIndex]?.service ?? "", leafId };
 }
 
 /**
- * Parts that stay in the answer whatever comes: a part of a shard that is also asked for through a
- * box that merges may yet be replaced, by one with other records.
+ * Returns the parts that are certain to stay in the answer. A part of a shard that is also open at
+ * a merging box may still be replaced by one with other records.
  */
-function lastingParts({ shards, relayed }: RequestState): ReadonlyArray<Buffer> {
-  const own = shards.flatMap(({ part, open }) => {
+function finalParts({ shards, relayed }: RequestState): ReadonlyArray<Buffer> {
+  const direct = shards.flatMap(({ part, open }) => {
     return part === undefined || open.length > 0 ? [] : [part.body];
   });
-  return [...own, ...relayed.map(({ records }) => records)];
+  return [...direct, ...relayed.map(({ records }) => records)];
 }
--- a/request/_request_driver.ts
+++ b/request/_request_driver.ts
@@ -1,5 +1,5 @@
 /**
- * Drives one request through the core, for its tests.
+ * Drives one request through the request core, for tests.
  *
  * @module
  */
@@ -41,53 +41,54 @@
 
 export const NON_REPEATABLE: Route = { ...SINGLE, repeatable: false };
 
-/** What a driven request meets. */
+/** Environment of a driven request. */
 export interface RequestDriverOptions {
   readonly extraCalls?: number;
   readonly remote?: boolean;
-  /** Ends of the leafs' ids that lie in another region; "a" by default. */
+  /** Suffixes of the ids of leafs in another region; "a" if `remote` is set, otherwise none. */
   readonly remoteLeafs?: ReadonlyArray<string>;
   readonly finishShare?: number;
-  /** Expected wait at each service's leafs, in milliseconds; none by default. */
+  /** Expected queue wait at each service's leafs, in milliseconds; 0 by default. */
   readonly queueMs?: Readonly<Record<string, number>>;
-  /** How the first call may go; freely by default. */
+  /** How the first call may be made; unrestricted by default. */
   readonly calling?: CallPermission;
-  /** Share of calls to each service's leafs that come to nothing; none by default. */
+  /** Expected failure rate of calls to each service's leafs; 0 by default. */
   readonly failureRate?: Readonly<Record<string, number>>;
-  /** Told what each extra call is paid as. */
+  /** Called with the kind of each extra call. */
   readonly onExtraCall?: (kind: ExtraCallKind) => void;
-  /** Whether queues stand; true by default. */
+  /** Whether queues persist between queries; true by default. */
   readonly persistentQueues?: boolean;
   /** Services that have no leaf. */
   readonly withoutLeafs?: ReadonlyArray<string>;
 }
 
-/** Drives one request: leafs are `<service>-a` and `<service>-b`, extra calls as many as told. */
+/** Drives one request. Each service has the leafs `<service>-a` and `<service>-b`. */
 export class RequestDriver {
   state: RequestState;
   effects: ReadonlyArray<RequestEffect> = [];
   nowMs = 0;
-  /** The box's own clock; the same moment by default. */
+  /** Idle time of the event loop; `nowMs` by default. */
   eventLoopIdleMs: number | undefined;
   extraCalls: number;
-  readonly relayedLeafs: ReadonlyArray<string>;
+  readonly remoteLeafs: ReadonlyArray<string>;
   readonly withoutLeafs: ReadonlyArray<string>;
   readonly queueMs: Readonly<Record<string, number>>;
   readonly failureRate: Readonly<Record<string, number>>;
   readonly onExtraCall: (kind: ExtraCallKind) => void;
   leafs: ReadonlyArray<string> = ["a", "b"];
-  /** Whether queues stand. */
   readonly persistentQueues: boolean;
-  /** Whether another region has a box to rely on. */
+  /** Whether another region has an available box. */
   hasBox = true;
-  /** How the next call may go; once a trial has begun, not before the test says so. */
+  /**
+   * How the next call may be made. Deferred from the start of a probe call until a test changes it.
+   */
   calling: CallPermission;
 
   constructor(route: Route, options: RequestDriverOptions = {}) {
     const {
       extraCalls = 10,
-      remote: far = false,
-      remoteLeafs: relayedLeafs = far ? ["a"] : [],
+      remote = false,
+      remoteLeafs = remote ? ["a"] : [],
       finishShare = 1,
     } = options;
     this.withoutLeafs = options.withoutLeafs ?? [];
@@ -97,7 +98,7 @@
     this.persistentQueues = options.persistentQueues ?? true;
     this.calling = options.calling ?? "unrestricted";
     this.onExtraCall = options.onExtraCall ?? (() => undefined);
-    this.relayedLeafs = relayedLeafs;
+    this.remoteLeafs = remoteLeafs;
     const terms = {
       requestId: "r",
       route,
@@ -114,20 +115,20 @@
   }
 
   dispatch(event: RequestEvent): ReadonlyArray<RequestEffect> {
-    const world: RequestContext = {
+    const context: RequestContext = {
       nowMs: this.nowMs,
       eventLoopIdleMs: this.eventLoopIdleMs ?? this.nowMs,
       chooseLeaf: (service, excluded) => {
         const leafs = this.withoutLeafs.includes(service) ? [] : this.leafs;
         const leafIds = leafs.map((leaf) => `${service}-${leaf}`);
         const leafId = leafIds.find((each) => !excluded.has(each));
-        const isFar = this.relayedLeafs.some((end) => leafId?.endsWith(`-${end}`));
-        const relayPlace = isFar ? "south" : undefined;
+        const isRemote = this.remoteLeafs.some((suffix) => leafId?.endsWith(`-${suffix}`));
+        const relayPlace = isRemote ? "south" : undefined;
         const queueMs = this.queueMs[service] ?? 0;
-        const lossShare = this.failureRate[service] ?? 0;
+        const failureRate = this.failureRate[service] ?? 0;
         return leafId === undefined
           ? undefined
-          : { leafId, expectedMs: 5, relayPlace, queueMs, failureRate: lossShare };
+          : { leafId, expectedMs: 5, relayPlace, queueMs, failureRate };
       },
       chooseBox: (region) => {
         return this.hasBox ? { box: `box in ${region}`, expectedMs: 5 } : undefined;
@@ -145,7 +146,7 @@
         return this.extraCalls >= 0;
       },
     };
-    const next = stepRequest(this.state, event, world);
+    const next = stepRequest(this.state, event, context);
     this.state = next.state;
     this.effects = next.effects;
     return next.effects;
--- a/request/_shards.ts
+++ b/request/_shards.ts
@@ -1,26 +1,26 @@
 /**
- * Changes to the shards of a request.
+ * Updates to the shards of a request.
  *
  * @module
  */
 import type { Attempt, RequestState, ShardState } from "./request_state.js";
 
 /**
- * Tells whether nothing more is to be got for a shard.
+ * Returns whether no further call can change a shard.
  *
  * @param shard - The shard.
- * @returns Whether its part is in or it is lost.
+ * @returns Whether its part has been received or it has failed.
  */
-export function isSettled({ part, relayed, failed: lost }: ShardState): boolean {
-  return part !== undefined || relayed || lost;
+export function isSettled({ part, relayed, failed }: ShardState): boolean {
+  return part !== undefined || relayed || failed;
 }
 
 /**
- * Lists the shards that an attempt is for: one for a leaf, several for a box that merges.
+ * Lists the shards of an attempt: one for a call to a leaf, possibly several for a merging box.
  *
  * @param state - The request.
  * @param attemptId - The attempt.
- * @returns Their places among the request's shards.
+ * @returns Indices of the shards.
  */
 export function shardsOf(state: RequestState, attemptId: number): ReadonlyArray<number> {
   return [...state.shards.keys()].filter((index) => {
@@ -29,40 +29,35 @@
 }
 
 /**
- * Lists the attempts that have not ended.
+ * Lists the open attempts.
  *
  * @param state - The request.
- * @returns Each once, also one that is for several shards.
+ * @returns The ids, without duplicates.
  */
 export function openAttemptsOf({ shards }: RequestState): ReadonlyArray<number> {
   return [...new Set(shards.flatMap(({ open }) => open.map(({ attemptId }) => attemptId)))];
 }
 
-/** An attempt that begins. */
+/** An attempt to be opened. */
 export interface OpenedAttempt {
   readonly shardIndex: number;
   readonly attempt: Attempt;
-  /** Leaf that is asked directly; nothing where a box picks it. */
+  /** Leaf that is called directly; `undefined` if a box selects it. */
   readonly calledLeafId?: string;
-  /** Leaf that a box is expected to ask. */
+  /** Leaf that a box is expected to call. */
   readonly expectedRelayLeafId?: string;
 }
 
 /**
- * Notes that an attempt has begun.
+ * Opens an attempt for a shard.
  *
  * @param state - The request.
  * @param opened - The attempt and its shard.
- * @returns The request after that.
+ * @returns The updated request.
  */
 export function openAttempt(
   state: RequestState,
-  {
-    shardIndex,
-    attempt,
-    calledLeafId: askedLeaf,
-    expectedRelayLeafId: expectedOfBox,
-  }: OpenedAttempt,
+  { shardIndex, attempt, calledLeafId, expectedRelayLeafId }: OpenedAttempt,
 ): RequestState {
   return updateShard(state, shardIndex, (shard) => ({
     ...shard,
@@ -70,18 +65,20 @@
     open: [...shard.open, attempt],
     next: undefined,
     calledLeafIds:
-      askedLeaf === undefined ? shard.calledLeafIds : new Set(shard.calledLeafIds).add(askedLeaf),
-    expectedRelayLeafId: expectedOfBox ?? shard.expectedRelayLeafId,
+      calledLeafId === undefined
+        ? shard.calledLeafIds
+        : new Set(shard.calledLeafIds).add(calledLeafId),
+    expectedRelayLeafId: expectedRelayLeafId ?? shard.expectedRelayLeafId,
   }));
 }
 
 /**
- * Notes that an attempt has ended for a shard.
+ * Closes an attempt for a shard.
  *
  * @param state - The request.
  * @param shardIndex - The shard.
  * @param attemptId - The attempt.
- * @returns The request after that.
+ * @returns The updated request.
  */
 export function endAttempt(
   state: RequestState,
@@ -95,26 +92,26 @@
 }
 
 /**
- * Notes that nothing more can be got for a shard.
+ * Marks a shard as failed.
  *
  * @param state - The request.
  * @param shardIndex - The shard.
- * @returns The request after that.
+ * @returns The updated request.
  */
 export function failShard(state: RequestState, shardIndex: number): RequestState {
-  const lost = updateShard(state, shardIndex, (shard) => {
+  const failed = updateShard(state, shardIndex, (shard) => {
     return { ...shard, failed: true, next: undefined };
   });
-  return { ...lost, partsLost: state.partsLost + 1 };
+  return { ...failed, partsLost: state.partsLost + 1 };
 }
 
 /**
- * Changes one shard.
+ * Updates one shard.
  *
  * @param state - The request.
  * @param shardIndex - The shard.
- * @param change - Makes the changed shard.
- * @returns The request after that.
+ * @param change - Returns the updated shard.
+ * @returns The updated request.
  */
 export function updateShard(
   state: RequestState,
--- a/request/blocked_query_test.ts
+++ b/request/blocked_query_test.ts
@@ -9,101 +9,101 @@
   SINGLE,
 } from "./_request_driver.js";
 
-const LOST = { kind: "failed", sent: true, reason: "closed", connectionClosed: true } as const;
-const HELD = {
+const CRASHED = { kind: "failed", sent: true, reason: "closed", connectionClosed: true } as const;
+const BLOCKED = {
   kind: "failed",
   sent: false,
   reason: "leafs were lost under it",
   blockReason: { kind: "quarantined", fingerprint: "q" },
 } as const;
 
-/** Lets the waiting shards have their turn. */
-function nextTurn(driver: RequestDriver): ReadonlyArray<string> {
+/** Advances the clock to the next turn of deferred shards. */
+function retryDeferred(driver: RequestDriver): ReadonlyArray<string> {
   driver.nowMs += 15;
   return calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" }));
 }
 
-t.test("a query that is held is refused before any leaf works for it", async (t) => {
+t.test("a blocked query is refused before any call is sent", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { calling: "blocked" });
   t.same(calledLeafIds(driver.effects), []);
   t.match(replyOf(driver.effects), { kind: "notRun", retryAfterMs: 700 });
 });
 
-t.test("a suspect asks one leaf, and all others once that has answered", async (t) => {
+t.test("a suspected query calls one leaf first, and all others once it has answered", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { calling: "exclusive" });
   t.same(calledLeafIds(driver.effects), ["s1-a"]);
   const call = driver.effects.find(({ kind }) => kind === "call");
   t.match(call, { isTrial: true });
-  t.same(nextTurn(driver), [], "the others wait");
+  t.same(retryDeferred(driver), [], "the other shards are deferred");
   driver.calling = "unrestricted";
   driver.endAttempt(1, answered(200, "x"));
-  t.same(nextTurn(driver), ["s2-a", "s3-a", "s4-a"]);
+  t.same(retryDeferred(driver), ["s2-a", "s3-a", "s4-a"]);
 });
 
-t.test("the calls that waited for a trial are no extra calls", async (t) => {
+t.test("calls deferred by a probe are not extra calls", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { calling: "exclusive", extraCalls: 0 });
   driver.calling = "unrestricted";
   driver.endAttempt(1, answered(200, "x"));
-  t.equal(nextTurn(driver).length, 3);
+  t.equal(retryDeferred(driver).length, 3);
 });
 
-t.test("a trial goes to its leaf directly, not through a box near it", async (t) => {
+t.test("a probe is sent to its leaf directly, not through a box near it", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { calling: "exclusive", remote: true });
   t.same(calledLeafIds(driver.effects), ["s1-a"]);
   t.notOk(driver.effects.some(({ kind }) => kind === "relay" || kind === "askThrough"));
 });
 
-t.test("while another request tries the query, a suspect waits and asks nobody", async (t) => {
+t.test("a suspected query is deferred while another request probes it", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { calling: "deferred" });
   t.same(calledLeafIds(driver.effects), []);
   t.equal(replyOf(driver.effects), undefined);
   driver.calling = "unrestricted";
-  t.equal(nextTurn(driver).length, 4);
+  t.equal(retryDeferred(driver).length, 4);
 });
 
-t.test("leafs lost in a query without an answer are replaced one at a time", async (t) => {
+t.test("crashed leafs of an unanswered query are replaced one at a time", async (t) => {
   const driver = new RequestDriver(GATHER_MANY);
   t.equal(calledLeafIds(driver.effects).length, 4);
   driver.calling = "exclusive";
-  t.same(calledLeafIds(driver.endAttempt(1, LOST)), ["s1-b"]);
-  t.same(calledLeafIds(driver.endAttempt(2, LOST)), [], "a trial is under way");
-  t.same(calledLeafIds(driver.endAttempt(3, LOST)), []);
+  t.same(calledLeafIds(driver.endAttempt(1, CRASHED)), ["s1-b"]);
+  t.same(calledLeafIds(driver.endAttempt(2, CRASHED)), [], "a probe is in flight");
+  t.same(calledLeafIds(driver.endAttempt(3, CRASHED)), []);
 });
 
-t.test("a query that is held from then on is given up at once, and may have run", async (t) => {
+t.test("a query that becomes blocked fails immediately, and may have run", async (t) => {
   const driver = new RequestDriver(GATHER_MANY);
   driver.calling = "exclusive";
-  driver.endAttempt(1, LOST);
+  driver.endAttempt(1, CRASHED);
   driver.calling = "blocked";
-  driver.endAttempt(2, LOST);
-  driver.endAttempt(3, LOST);
-  const effects = driver.endAttempt(4, LOST);
+  driver.endAttempt(2, CRASHED);
+  driver.endAttempt(3, CRASHED);
+  const effects = driver.endAttempt(4, CRASHED);
   t.match(replyOf(effects), { kind: "failed", reason: "leafs failed" });
 });
 
-t.test("a shard whose call another box held is not asked elsewhere", async (t) => {
+t.test("a shard whose call another box blocked is not called elsewhere", async (t) => {
   const driver = new RequestDriver(GATHER_MANY);
   driver.calling = "blocked";
-  t.same(calledLeafIds(driver.endAttempt(1, HELD)), []);
-  t.same(calledLeafIds(driver.endAttempt(2, HELD)), []);
-  const reply = replyOf(driver.endAttempt(3, HELD));
+  t.same(calledLeafIds(driver.endAttempt(1, BLOCKED)), []);
+  t.same(calledLeafIds(driver.endAttempt(2, BLOCKED)), []);
+  const reply = replyOf(driver.endAttempt(3, BLOCKED));
   t.match(reply, { kind: "failed" }, "the fourth call may still run");
 });
 
-t.test("a suspect to one leaf that must not run twice is asked once or refused", async (t) => {
-  const trying = new RequestDriver(NON_REPEATABLE, { calling: "exclusive" });
-  t.same(calledLeafIds(trying.effects), ["s1-a"]);
-  const waiting = new RequestDriver(NON_REPEATABLE, { calling: "deferred" });
+t.test("a suspected non-repeatable request to a single leaf is sent once or refused", async (t) => {
+  const probing = new RequestDriver(NON_REPEATABLE, { calling: "exclusive" });
+  t.same(calledLeafIds(probing.effects), ["s1-a"]);
+  const deferred = new RequestDriver(NON_REPEATABLE, { calling: "deferred" });
   t.match(
-    replyOf(waiting.effects),
+    replyOf(deferred.effects),
     { kind: "notRun" },
-    "nothing would wake it before its deadline",
+    "no timer would retry it before its deadline",
   );
 });
 
-t.test("a repeatable suspect to one leaf waits for its turn", async (t) => {
+t.test("a suspected repeatable request to a single leaf is deferred", async (t) => {
   const driver = new RequestDriver(SINGLE, { calling: "deferred" });
   t.equal(replyOf(driver.effects), undefined);
   driver.calling = "exclusive";
-  t.same(nextTurn(driver), ["s1-a"]);
+  t.same(retryDeferred(driver), ["s1-a"]);
 });
--- a/request/failed_part.ts
+++ b/request/failed_part.ts
@@ -1,5 +1,5 @@
 /**
- * What it means for a request that a box which was asked for parts has none of a shard.
+ * Maps the reason for a missing relayed part to the outcome of the attempt.
  *
  * @module
  */
@@ -12,18 +12,18 @@
   "connection lost": {
     kind: "failed",
     sent: true,
-    reason: "leaf was lost",
+    reason: "leaf disconnected",
     connectionClosed: true,
   },
   blocked: { kind: "failed", sent: false, reason: "blocked" },
 };
 
 /**
- * Tells how an attempt through another box ended that brought no part.
+ * Returns the outcome of an attempt through another box that yielded no part.
  *
- * @param why - Why there is none.
+ * @param reason - Why the part is missing.
  * @returns The attempt's outcome.
  */
-export function failedPartOutcome(why: FailedPart): AttemptOutcome {
-  return OUTCOMES[why];
+export function failedPartOutcome(reason: FailedPart): AttemptOutcome {
+  return OUTCOMES[reason];
 }
--- a/request/mod.ts
+++ b/request/mod.ts
@@ -1,5 +1,6 @@
 /**
- * One caller's request: which leafs it is sent to, when again, and what is answered.
+ * The state machine of one caller's request: which leafs are called, when calls are repeated, and
+ * what is replied.
  *
  * @module
  */
--- a/request/record_merge.ts
+++ b/request/record_merge.ts
@@ -1,49 +1,51 @@
 /**
- * Merges the records of several parts: the greatest ones by byte order, greatest first.
+ * Merges the records of several parts: the greatest in byte order, in descending order.
  *
  * @module
  */
 
-/** Size of a record, in bytes. A shorter remainder at the end of a part is no record. */
+/** Size of a record, in bytes. A shorter remainder at the end of a part is ignored. */
 export const RECORD_BYTES = 16;
 
-/** Bytes at a record's beginning that are compared as one number; more would not fit exactly. */
+/**
+ * Length of the record prefix that is compared as a number, in bytes. Longer prefixes would exceed
+ * the safe integer range.
+ */
 const KEY_BYTES = 6;
 
-/** Where a record lies, and the number at its beginning. */
-interface RecordPlace {
+/** Location of a record. */
+interface RecordLocation {
   readonly part: Buffer;
   readonly offset: number;
 }
 
-/** Which records of a merge are wanted. */
+/** Which records to return. */
 export interface MergeOptions {
-  /** Most records wanted. */
+  /** Maximum number of records. */
   readonly topRecords: number;
-  /** Records below this one are left out; none by default. */
+  /** Lower bound: smaller records are omitted. No bound by default. */
   readonly minRecord?: Buffer | undefined;
 }
 
 /**
- * Picks the greatest records of all parts; equal records each count.
+ * Selects the greatest records of all parts. Duplicate records are kept.
  *
- * Most records are ruled out by the number at their beginning, without comparing bytes: that is a
- * tenth of the time that sorting all of them by their bytes took.
+ * Most records are excluded by their numeric prefix, which is much faster than comparing bytes.
  *
- * @param parts - Bodies of the parts, records in no order.
- * @param options - Which records are wanted.
- * @returns The records, greatest first, one after the other.
+ * @param parts - Bodies of the parts, records in any order.
+ * @param options - Which records to return.
+ * @returns The concatenated records, in descending order.
  */
 export function mergeRecords(
   parts: ReadonlyArray<Buffer>,
-  { topRecords, minRecord: leastRecord }: MergeOptions,
+  { topRecords, minRecord }: MergeOptions,
 ): Buffer {
   const keys = recordKeys(parts);
-  const places = placesFrom(parts, keys, leastKey(keys, topRecords));
-  places.sort(compareRecords);
-  const wanted = places
+  const locations = locationsFrom(parts, keys, minKey(keys, topRecords));
+  locations.sort(compareRecords);
+  const wanted = locations
     .slice(0, topRecords)
-    .filter((place) => leastRecord === undefined || !isBelow(place, leastRecord));
+    .filter((location) => minRecord === undefined || !isBelow(location, minRecord));
   const merged = Buffer.allocUnsafe(wanted.length * RECORD_BYTES);
   wanted.forEach(({ part, offset }, index) => {
     part.copy(merged, index * RECORD_BYTES, offset, offset + RECORD_BYTES);
@@ -69,57 +71,57 @@
   return keys;
 }
 
-/** Numbers that are kept while the least one is looked for, as a multiple of the records wanted. */
-const KEPT_FACTOR = 4;
+/** Size of the buffer for candidate keys, as a multiple of the records wanted. */
+const CANDIDATES_FACTOR = 4;
 
 /**
- * Finds the number that a record must at least begin with to be among the greatest. Only numbers that
- * may still count are kept and sorted, which is a fraction of all.
+ * Finds the smallest key that a record among the greatest can have. Only candidate keys are
+ * buffered and sorted, which is a fraction of all keys.
  */
-function leastKey(keys: Float64Array, topRecords: number): number {
+function minKey(keys: Float64Array, topRecords: number): number {
   if (keys.length <= topRecords || topRecords === 0) {
     return 0;
   }
-  const kept = new Float64Array(Math.min(keys.length, topRecords * KEPT_FACTOR));
+  const candidates = new Float64Array(Math.min(keys.length, topRecords * CANDIDATES_FACTOR));
   let count = 0;
-  let least = 0;
+  let threshold = 0;
   for (const key of keys) {
-    if (key < least) {
+    if (key < threshold) {
       continue;
     }
-    if (count === kept.length) {
-      kept.sort();
-      kept.copyWithin(0, count - topRecords);
+    if (count === candidates.length) {
+      candidates.sort();
+      candidates.copyWithin(0, count - topRecords);
       count = topRecords;
-      least = kept[0] ?? 0;
+      threshold = candidates[0] ?? 0;
     }
-    kept[count] = key;
+    candidates[count] = key;
     count += 1;
   }
-  return kept.subarray(0, count).sort()[count - topRecords] ?? 0;
+  return candidates.subarray(0, count).sort()[count - topRecords] ?? 0;
 }
 
-function placesFrom(
+function locationsFrom(
   parts: ReadonlyArray<Buffer>,
   keys: Float64Array,
-  least: number,
-): Array<RecordPlace> {
-  const places: Array<RecordPlace> = [];
+  threshold: number,
+): Array<RecordLocation> {
+  const locations: Array<RecordLocation> = [];
   let index = 0;
   for (const part of parts) {
     const end = recordCount(part) * RECORD_BYTES;
     for (let offset = 0; offset < end; offset += RECORD_BYTES) {
-      if ((keys[index] ?? 0) >= least) {
-        places.push({ part, offset });
+      if ((keys[index] ?? 0) >= threshold) {
+        locations.push({ part, offset });
       }
       index += 1;
     }
   }
-  return places;
+  return locations;
 }
 
-/** Greatest first. */
-function compareRecords(a: RecordPlace, b: RecordPlace): number {
+/** Orders records in descending byte order. */
+function compareRecords(a: RecordLocation, b: RecordLocation): number {
   return b.part.compare(
     a.part,
     a.offset,
@@ -129,6 +131,6 @@
   );
 }
 
-function isBelow({ part, offset }: RecordPlace, record: Buffer): boolean {
+function isBelow({ part, offset }: RecordLocation, record: Buffer): boolean {
   return part.compare(record, 0, RECORD_BYTES, offset, offset + RECORD_BYTES) < 0;
 }
--- a/request/record_merge_test.ts
+++ b/request/record_merge_test.ts
@@ -6,25 +6,28 @@
   return Buffer.alloc(RECORD_BYTES, first);
 }
 
-t.test("mergeRecords() gives the greatest records, greatest first, equal ones each", async (t) => {
-  const one = Buffer.concat([record(3), record(200), record(7)]);
-  const other = Buffer.concat([record(7), record(1)]);
-  const merged = mergeRecords([one, other], { topRecords: 3 });
-  t.same(merged, Buffer.concat([record(200), record(7), record(7)]));
-});
+t.test(
+  "mergeRecords() returns the greatest records in descending order, with duplicates",
+  async (t) => {
+    const one = Buffer.concat([record(3), record(200), record(7)]);
+    const other = Buffer.concat([record(7), record(1)]);
+    const merged = mergeRecords([one, other], { topRecords: 3 });
+    t.same(merged, Buffer.concat([record(200), record(7), record(7)]));
+  },
+);
 
-t.test("mergeRecords() passes over a remainder shorter than a record", async (t) => {
+t.test("mergeRecords() ignores a remainder shorter than a record", async (t) => {
   const part = Buffer.concat([record(5), Buffer.alloc(RECORD_BYTES - 1, 255)]);
   t.same(mergeRecords([part], { topRecords: 10 }), record(5));
 });
 
-t.test("mergeRecords() gives what sorting all records by their bytes gives", async (t) => {
+t.test("mergeRecords() returns the same records as a full sort by bytes", async (t) => {
   const part = fc.uint8Array({ maxLength: 200 }).map((bytes) => Buffer.from(bytes));
-  // Few different bytes, so that many records begin alike.
-  const alike = fc
+  // Draws from two byte values only, so that many records share a prefix.
+  const similar = fc
     .array(fc.constantFrom(0, 255), { maxLength: 200 })
     .map((bytes) => Buffer.from(bytes));
-  const parts = fc.array(fc.oneof(part, alike), { maxLength: 6 });
+  const parts = fc.array(fc.oneof(part, similar), { maxLength: 6 });
   fc.assert(
     fc.property(parts, fc.nat(12), (bodies, topRecords) => {
       const records = bodies.flatMap((body) => {
--- a/request/record_threshold.ts
+++ b/request/record_threshold.ts
@@ -1,18 +1,18 @@
 /**
- * Finds the record below which no further record can be among the greatest, so that boxes far away
- * need not send what lies below it.
+ * Computes the top-k threshold: the record below which no further record can be in the result.
+ * Remote boxes omit smaller records.
  *
  * @module
  */
 import { mergeRecords, RECORD_BYTES } from "./record_merge.js";
 
 /**
- * Finds the least of the greatest records of some parts. Whatever other parts hold below it is not
- * wanted any more, as long as these parts stay in the answer.
+ * Computes the smallest of the greatest records of some parts. Smaller records of other parts
+ * cannot be in the result as long as these parts are.
  *
- * @param parts - Bodies of the parts, records in no order.
- * @param options - Records wanted in the end.
- * @returns The record, or nothing while there are fewer records than wanted.
+ * @param parts - Bodies of the parts, records in any order.
+ * @param options - Number of records in the result.
+ * @returns The record, or `undefined` if there are fewer records than wanted.
  */
 export function recordThreshold(
   parts: ReadonlyArray<Buffer>,
--- a/request/relayed_test.ts
+++ b/request/relayed_test.ts
@@ -8,7 +8,7 @@
   replyOf,
 } from "./_request_driver.js";
 
-t.test("shards whose leafs are far are asked through one box near them", async (t) => {
+t.test("shards with remote leafs are called through one box near them", async (t) => {
   const driver = new RequestDriver(GATHER, { remote: true });
   t.match(driver.effects, [
     { kind: "wake" },
@@ -28,23 +28,26 @@
   t.match(reply, { kind: "merged", signatures: ["x", "y"], missingParts: 0 });
 });
 
-t.test("relayed parts go before a part of the same shard, so that none counts twice", async (t) => {
-  const driver = new RequestDriver(GATHER, { remote: true });
-  driver.nowMs = 50;
-  t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), ["s1-b", "s2-b"]);
-  driver.endAttempt(2, answered(200, "direct", 9));
-  const signatures = new Map([["s1", "relayed"]]);
-  const parts = { signatures, records: Buffer.alloc(16, 4), failed: new Map() };
-  driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
-  t.equal(driver.state.partsIn, 1);
-  t.match(replyOf(driver.dispatch({ kind: "timer", timer: "aim" })), {
-    kind: "merged",
-    signatures: ["relayed"],
-    records: Buffer.alloc(16, 4),
-  });
-});
+t.test(
+  "relayed parts replace a direct part of the same shard, so that none counts twice",
+  async (t) => {
+    const driver = new RequestDriver(GATHER, { remote: true });
+    driver.nowMs = 50;
+    t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), ["s1-b", "s2-b"]);
+    driver.endAttempt(2, answered(200, "direct", 9));
+    const signatures = new Map([["s1", "relayed"]]);
+    const parts = { signatures, records: Buffer.alloc(16, 4), failed: new Map() };
+    driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
+    t.equal(driver.state.partsIn, 1);
+    t.match(replyOf(driver.dispatch({ kind: "timer", timer: "objective" })), {
+      kind: "merged",
+      signatures: ["relayed"],
+      records: Buffer.alloc(16, 4),
+    });
+  },
+);
 
-t.test("shards that another box could not get are asked for directly", async (t) => {
+t.test("shards that another box could not collect are called directly", async (t) => {
   const driver = new RequestDriver(GATHER, { remote: true });
   const signatures = new Map([["s1", "x"]]);
   const parts = { signatures, records: Buffer.alloc(16, 4), failed: new Map() };
@@ -55,38 +58,44 @@
   );
 });
 
-t.test("shards that another box declines go to another leaf at once, at no cost", async (t) => {
-  const driver = new RequestDriver(GATHER, { remote: true, extraCalls: 0 });
-  const parts = {
-    signatures: new Map(),
-    records: Buffer.alloc(0),
-    failed: new Map([["s2", "declined" as const]]),
-  };
-  t.same(calledLeafIds(driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts })), ["s2-b"]);
-});
+t.test(
+  "shards that another box declines go to another leaf immediately, without an extra call",
+  async (t) => {
+    const driver = new RequestDriver(GATHER, { remote: true, extraCalls: 0 });
+    const parts = {
+      signatures: new Map(),
+      records: Buffer.alloc(0),
+      failed: new Map([["s2", "declined" as const]]),
+    };
+    t.same(calledLeafIds(driver.dispatch({ kind: "partsRelayed", attemptId: 1, parts })), ["s2-b"]);
+  },
+);
 
-t.test("the leaf that a box was to ask is asked again where no other is left", async (t) => {
-  const missing = { kind: "failed", sent: true, reason: "part is missing" } as const;
-  const alone = new RequestDriver(GATHER, { remote: true });
-  alone.leafs = ["a"];
-  alone.hasBox = false;
-  t.same(
-    calledLeafIds(alone.endAttempt(1, missing)),
-    ["s1-a", "s2-a"],
-    "directly, without a box to rely on",
-  );
-  const driver = new RequestDriver(GATHER, { remote: true });
-  driver.leafs = ["a"];
-  const leafs = [{ leafId: "s1-a" }, { leafId: "s2-a" }];
-  t.match(driver.endAttempt(1, missing)[0], {
-    kind: "askThrough",
-    box: "box in south",
-    calls: leafs,
-  });
-});
+t.test(
+  "the leaf that a box was expected to call is called again if no other is left",
+  async (t) => {
+    const missing = { kind: "failed", sent: true, reason: "part is missing" } as const;
+    const withoutBox = new RequestDriver(GATHER, { remote: true });
+    withoutBox.leafs = ["a"];
+    withoutBox.hasBox = false;
+    t.same(
+      calledLeafIds(withoutBox.endAttempt(1, missing)),
+      ["s1-a", "s2-a"],
+      "directly, without an available box",
+    );
+    const driver = new RequestDriver(GATHER, { remote: true });
+    driver.leafs = ["a"];
+    const leafs = [{ leafId: "s1-a" }, { leafId: "s2-a" }];
+    t.match(driver.endAttempt(1, missing)[0], {
+      kind: "askThrough",
+      box: "box in south",
+      calls: leafs,
+    });
+  },
+);
 
 t.test(
-  "second calls to far leafs go through one box there, which sends what still counts",
+  "hedges to remote leafs go through one box there, which returns only records above the threshold",
   async (t) => {
     const driver = new RequestDriver(GATHER_MANY, { remoteLeafs: ["b"] });
     driver.endAttempt(1, answered(200, "one", 5));
@@ -109,28 +118,35 @@
   },
 );
 
-t.test("the floor counts no part that a box may still replace", async (t) => {
+t.test("the record threshold ignores parts that a relaying box may still replace", async (t) => {
   const driver = new RequestDriver(GATHER, { remoteLeafs: ["a"] });
   driver.nowMs = 50;
   driver.dispatch({ kind: "timer", timer: "hedge" });
   driver.endAttempt(2, answered(200, "direct", 9));
   t.same(driver.state.shards[0]?.part?.signature, "direct");
-  t.equal(driver.state.shards[0]?.open.length, 1, "the box's part of the shard may still come");
+  t.equal(driver.state.shards[0]?.open.length, 1, "the box's part of the shard may still arrive");
   driver.leafs = ["a", "b", "c"];
-  const far = new RequestDriver(GATHER, { remoteLeafs: ["a", "b", "c"] });
-  far.leafs = ["a", "b", "c"];
+  const allRemote = new RequestDriver(GATHER, { remoteLeafs: ["a", "b", "c"] });
+  allRemote.leafs = ["a", "b", "c"];
   const parts = {
     signatures: new Map([["s1", "x"]]),
     records: Buffer.alloc(16, 9),
     failed: new Map([["s2", "declined" as const]]),
   };
-  const effects = far.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
-  t.match(effects[0], { kind: "askThrough", minRecord: undefined }, "one record of two is in");
+  const effects = allRemote.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
+  t.match(
+    effects[0],
+    { kind: "askThrough", minRecord: undefined },
+    "one of two records has been received",
+  );
 });
 
-t.test("shards of an order are not asked again before their parts can have come", async (t) => {
-  const driver = new RequestDriver(GATHER, { remote: true });
-  driver.nowMs = 42;
-  t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), []);
-  t.match(driver.effects, [{ kind: "wake", timer: "hedge" }]);
-});
+t.test(
+  "shards of a relay request are not hedged before their parts can have arrived",
+  async (t) => {
+    const driver = new RequestDriver(GATHER, { remote: true });
+    driver.nowMs = 42;
+    t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), []);
+    t.match(driver.effects, [{ kind: "wake", timer: "hedge" }]);
+  },
+);
--- a/request/request_core.ts
+++ b/request/request_core.ts
@@ -1,6 +1,6 @@
 /**
- * Decides what is done for one request, from its arrival to its answer. Pure: moments and choices
- * come in, effects go out.
+ * Decides what is done for one request, from its arrival to its reply. Pure: time and choices are
+ * inputs, and effects are returned.
  *
  * @module
  */
@@ -22,34 +22,35 @@
   ShardState,
 } from "./request_state.js";
 
-/** A request after an event, and what is to be done for it. */
+/** A request after an event, and the effects to perform. */
 export type RequestStep = Step<RequestState, RequestEffect>;
 
 /**
- * Share of the aim after which an unanswered shard is asked a second time. Leafs pause for 150 to 250 ms
- * every few seconds; the share of parts that come in time, squared, is 0.80 without second calls and 0.96
- * with them. Sooner costs more by load than it saves: with 0.3 urgent queries fall from 0.933 to 0.923
- * (mean over 600 queries).
+ * Fraction of the latency objective after which an unanswered shard is hedged. Hedging earlier adds
+ * more load than it saves time.
  */
-const HEDGE_AIM_SHARE = 0.4;
+const HEDGE_OBJECTIVE_SHARE = 0.4;
 
 /**
- * A shard is asked a second time only once the first call took this many times its expected time, so that
- * calls to slow leafs are not all doubled.
+ * A shard is hedged only after this multiple of the first call's expected time, so that calls to
+ * slow leafs are not duplicated routinely.
  */
 const HEDGE_EXPECTED_FACTOR = 1.7;
 
-/** Share of the aim by which it is asked whatever the first call usually takes: later is too late. */
-const HEDGE_LATEST_AIM_SHARE = 0.5;
+/**
+ * Fraction of the latency objective after which a shard is hedged whatever the expected time of its
+ * first call.
+ */
+const HEDGE_LATEST_OBJECTIVE_SHARE = 0.5;
 
-/** Share of the aim after which a second call that the budget refused is asked for again. */
-const HEDGE_RETRY_AIM_SHARE = 0.25;
+/** Fraction of the latency objective after which a hedge that the budget refused is tried again. */
+const HEDGE_RETRY_OBJECTIVE_SHARE = 0.25;
 
 /**
- * Starts the state of a request.
+ * Creates the state of a request.
  *
  * @param terms - The request.
- * @param services - One service for each shard.
+ * @param services - The service of each shard.
  * @returns The state before anything was sent.
  */
 export function newRequest(terms: RequestTerms, services: ReadonlyArray<string>): RequestState {
@@ -79,23 +80,23 @@
 }
 
 /**
- * Takes one event.
+ * Handles one event.
  *
  * @param state - The request so far.
- * @param event - What happened.
- * @param world - The present moment and what the box can choose from.
- * @returns The request after that, and what is to be done.
+ * @param event - The event.
+ * @param context - Current time, and the leafs and boxes to choose from.
+ * @returns The updated request, and the effects to perform.
  */
 export function stepRequest(
   state: RequestState,
   event: RequestEvent,
-  world: RequestContext,
+  context: RequestContext,
 ): RequestStep {
   if (state.done) {
     return step(state);
   }
   const handler = EVENT_HANDLERS[event.kind] as EventHandler<RequestEvent>;
-  return handler(state, event, world);
+  return handler(state, event, context);
 }
 
 function unchanged(state: RequestState): RequestStep {
@@ -105,124 +106,140 @@
 type EventHandler<Event> = (
   state: RequestState,
   event: Event,
-  world: RequestContext,
+  context: RequestContext,
 ) => RequestStep;
 
 const EVENT_HANDLERS: {
   readonly [K in RequestEvent["kind"]]: EventHandler<Extract<RequestEvent, { readonly kind: K }>>;
 } = {
-  started: (state, _event, world) => {
-    const asked = sendFirstCalls(setFirstTimers(state), world);
+  started: (state, _event, context) => {
+    const called = sendFirstCalls(setFirstTimers(state), context);
     return andThen(
-      andThen(asked, (now) => wakeForHedge(now, world)),
+      andThen(called, (current) => setHedgeTimer(current, context)),
       replyIfDecided,
     );
   },
-  attemptEnded: (state, { attemptId, outcome, shardIndex: only }, world) => {
-    const shards = only === undefined ? shardsOf(state, attemptId) : [only];
-    const ended = forEachStep(unchanged(state), shards, (now, shardIndex) => {
-      return applyOutcome(now, { shardIndex, attemptId, outcome, world });
+  attemptEnded: (state, { attemptId, outcome, shardIndex: onlyShard }, context) => {
+    const shards = onlyShard === undefined ? shardsOf(state, attemptId) : [onlyShard];
+    const ended = forEachStep(unchanged(state), shards, (current, shardIndex) => {
+      return applyOutcome(current, { shardIndex, attemptId, outcome, context });
     });
-    return judgeAfterCalls(ended, world);
+    return replyAfterCalls(ended, context);
   },
-  partsRelayed: (state, { attemptId, parts }, world) => {
-    const taken = applyRelayedParts(state, parts);
-    const asked = forEachStep(unchanged(taken), shardsOf(taken, attemptId), (now, shardIndex) => {
-      const why = parts.failed.get(now.shards[shardIndex]?.service ?? "");
-      if (why === undefined) {
-        return step(now);
-      }
-      const outcome = failedPartOutcome(why);
-      return applyOutcome(now, { shardIndex, attemptId, outcome, world });
-    });
-    return judgeAfterCalls(asked, world);
+  partsRelayed: (state, { attemptId, parts }, context) => {
+    const applied = applyRelayedParts(state, parts);
+    const called = forEachStep(
+      unchanged(applied),
+      shardsOf(applied, attemptId),
+      (current, shardIndex) => {
+        const reason = parts.failed.get(current.shards[shardIndex]?.service ?? "");
+        if (reason === undefined) {
+          return step(current);
+        }
+        const outcome = failedPartOutcome(reason);
+        return applyOutcome(current, { shardIndex, attemptId, outcome, context });
+      },
+    );
+    return replyAfterCalls(called, context);
   },
-  timer: (state, { timer }, world) => TIMER_HANDLERS[timer](state, world),
+  timer: (state, { timer }, context) => TIMER_HANDLERS[timer](state, context),
   callerGone: (state) => step({ ...state, done: true }, ...abandonAll(state)),
 };
 
-/** Judges after an attempt's end. The timer stands as it is unless calls were made that may need another. */
-function judgeAfterCalls(made: RequestStep, world: RequestContext): RequestStep {
-  const isWaiting = made.state.shards.some(({ next }) => next !== undefined);
-  if (made.effects.length === 0 && !isWaiting) {
-    return replyIfDecided(made.state);
+/**
+ * Replies, if possible, after an attempt has ended. The hedge timer is set again only if calls were
+ * made or deferred.
+ */
+function replyAfterCalls(handled: RequestStep, context: RequestContext): RequestStep {
+  const hasDeferred = handled.state.shards.some(({ next }) => next !== undefined);
+  if (handled.effects.length === 0 && !hasDeferred) {
+    return replyIfDecided(handled.state);
   }
-  const called = andThen(batchRemoteCalls(made, world), (now) => wakeForHedge(now, world));
+  const called = andThen(batchRemoteCalls(handled, context), (current) =>
+    setHedgeTimer(current, context),
+  );
   return andThen(called, replyIfDecided);
 }
 
-type TimerHandler = (state: RequestState, world: RequestContext) => RequestStep;
+type TimerHandler = (state: RequestState, context: RequestContext) => RequestStep;
 
 const TIMER_HANDLERS: Readonly<Record<RequestTimer, TimerHandler>> = {
-  hedge: (state, world) => {
-    const hedged = forEachStep(unchanged(state), state.shards.keys(), (now, shardIndex) => {
-      const shard = now.shards[shardIndex];
-      if (shard === undefined || askingAtMs(now, shard, world) > world.nowMs) {
-        return step(now);
+  hedge: (state, context) => {
+    const hedged = forEachStep(unchanged(state), state.shards.keys(), (current, shardIndex) => {
+      const shard = current.shards[shardIndex];
+      if (shard === undefined || nextAttemptAtMs(current, shard, context) > context.nowMs) {
+        return step(current);
       }
       return shard.next === undefined
-        ? sendExtraCall(now, { shardIndex, world, kind: "hedge" })
-        : retryOrDefer(now, { shardIndex, world, kind: shard.next.kind });
+        ? sendExtraCall(current, { shardIndex, context, kind: "hedge" })
+        : retryOrDefer(current, { shardIndex, context, kind: shard.next.kind });
     });
-    const called = batchRemoteCalls(hedged, world);
-    const woken = andThen(called, (now) => wakeForHedge(now, world, { isRetry: true }));
-    return andThen(woken, replyIfDecided);
+    const called = batchRemoteCalls(hedged, context);
+    const timed = andThen(called, (current) => setHedgeTimer(current, context, { isRetry: true }));
+    return andThen(timed, replyIfDecided);
   },
-  aim: (state) => replyIfDecided({ ...state, pastObjective: true }),
+  objective: (state) => replyIfDecided({ ...state, pastObjective: true }),
   deadline: (state) => replyAtDeadline(state),
 };
 
 function setFirstTimers(state: RequestState): RequestStep {
-  const { objectiveAtMs: aimAtMs, deadlineAtMs, route } = state.terms;
+  const { objectiveAtMs, deadlineAtMs, route } = state.terms;
   const deadline: RequestEffect = { kind: "wake", timer: "deadline", atMs: deadlineAtMs };
-  const aim: RequestEffect = { kind: "wake", timer: "aim", atMs: aimAtMs };
-  return route.target.kind === "gather" ? step(state, deadline, aim) : step(state, deadline);
+  const objective: RequestEffect = { kind: "wake", timer: "objective", atMs: objectiveAtMs };
+  return route.target.kind === "gather" ? step(state, deadline, objective) : step(state, deadline);
 }
 
 /**
- * Share of the time that a call has before its shard is asked again for which the box itself must have
- * waited: while it is busy, as after a start, the answer may have come and not been read.
+ * Fraction of the hedge delay for which the event loop must have been idle. While this process is
+ * stalled, an answer may have arrived without having been read.
  */
-const LEAST_WAITED_SHARE = 0.35;
+const MIN_IDLE_DELAY_SHARE = 0.35;
 
-/** Moment at which a shard may be asked again; never where it is answered or two calls are under way. */
-function askingAtMs(
+/** Time at which a shard may be called again; infinite if it is settled or two calls are open. */
+function nextAttemptAtMs(
   { terms }: RequestState,
   shard: ShardState,
-  { nowMs, eventLoopIdleMs: waitedMs }: RequestContext,
+  { nowMs, eventLoopIdleMs }: RequestContext,
 ): number {
   if (shard.next !== undefined && !isSettled(shard)) {
     return shard.next.atMs;
   }
-  const [only] = shard.open;
-  if (isSettled(shard) || only === undefined || shard.open.length > 1) {
+  const [onlyAttempt] = shard.open;
+  if (isSettled(shard) || onlyAttempt === undefined || shard.open.length > 1) {
     return Number.POSITIVE_INFINITY;
   }
-  const aimMs = terms.objectiveAtMs - terms.arrivedAtMs;
-  const usualMs = Math.max(aimMs * HEDGE_AIM_SHARE, only.expectedMs * HEDGE_EXPECTED_FACTOR);
-  const delayMs = Math.max(only.minHedgeDelayMs, Math.min(aimMs * HEDGE_LATEST_AIM_SHARE, usualMs));
-  const unwaitedMs = delayMs * LEAST_WAITED_SHARE - (waitedMs - only.startedAtWaitedMs);
-  return Math.max(only.startedAtMs + delayMs, nowMs + unwaitedMs);
+  const objectiveMs = terms.objectiveAtMs - terms.arrivedAtMs;
+  const preferredMs = Math.max(
+    objectiveMs * HEDGE_OBJECTIVE_SHARE,
+    onlyAttempt.expectedMs * HEDGE_EXPECTED_FACTOR,
+  );
+  const delayMs = Math.max(
+    onlyAttempt.minHedgeDelayMs,
+    Math.min(objectiveMs * HEDGE_LATEST_OBJECTIVE_SHARE, preferredMs),
+  );
+  const remainingMs =
+    delayMs * MIN_IDLE_DELAY_SHARE - (eventLoopIdleMs - onlyAttempt.startedAtIdleMs);
+  return Math.max(onlyAttempt.startedAtMs + delayMs, nowMs + remainingMs);
 }
 
 /**
- * Sets the timer for the next shard that will have waited long enough. After a timer, shards that were
- * due and could not be asked again are tried once more a little later, as budgets fill up.
+ * Sets the timer for the next shard to become due for a hedge. After a hedge timer (`isRetry`),
+ * shards that were due but could not be called are tried again later, as budgets refill.
  */
-function wakeForHedge(
+function setHedgeTimer(
   state: RequestState,
-  world: RequestContext,
+  context: RequestContext,
   { isRetry = false }: { readonly isRetry?: boolean } = {},
 ): RequestStep {
-  const { nowMs } = world;
-  const { objectiveAtMs: aimAtMs, arrivedAtMs, deadlineAtMs, maxAttempts, route } = state.terms;
+  const { nowMs } = context;
+  const { objectiveAtMs, arrivedAtMs, deadlineAtMs, maxAttempts, route } = state.terms;
   if (state.done || !route.repeatable) {
     return step(state);
   }
-  const retryAtMs = nowMs + (aimAtMs - arrivedAtMs) * HEDGE_RETRY_AIM_SHARE;
+  const retryAtMs = nowMs + (objectiveAtMs - arrivedAtMs) * HEDGE_RETRY_OBJECTIVE_SHARE;
   const next = state.shards
     .filter(({ runs }) => runs < maxAttempts)
-    .map((shard) => askingAtMs(state, shard, world))
+    .map((shard) => nextAttemptAtMs(state, shard, context))
     .map((atMs) => (isRetry && atMs <= nowMs ? retryAtMs : atMs))
     .filter((atMs) => atMs > nowMs && atMs < deadlineAtMs);
   return next.length === 0
--- a/request/request_core_test.ts
+++ b/request/request_core_test.ts
@@ -11,7 +11,7 @@
   SINGLE,
 } from "./_request_driver.js";
 
-t.test("a query asks one leaf of each shard and merges when all parts are in", async (t) => {
+t.test("a query calls one leaf of each shard and merges once all parts are received", async (t) => {
   const driver = new RequestDriver(GATHER);
   t.same(calledLeafIds(driver.effects), ["s1-a", "s2-a"]);
   t.equal(replyOf(driver.endAttempt(1, answered(200, "x", 3))), undefined);
@@ -23,7 +23,7 @@
   );
 });
 
-t.test("a shard that is silent is asked a second time, within the budget", async (t) => {
+t.test("an unresponsive shard is hedged within the budget", async (t) => {
   const driver = new RequestDriver(GATHER, { extraCalls: 1 });
   driver.endAttempt(1, answered(200, "x"));
   driver.nowMs = 45;
@@ -42,25 +42,25 @@
   t.equal(driver.state.partsIn, 1);
 });
 
-t.test("past the aim the least share suffices, at once or when it comes in", async (t) => {
+t.test("the minimum share suffices once the latency objective has passed", async (t) => {
   const early = new RequestDriver(GATHER);
   early.endAttempt(1, answered(200, "x"));
-  t.match(replyOf(early.dispatch({ kind: "timer", timer: "aim" })), {
+  t.match(replyOf(early.dispatch({ kind: "timer", timer: "objective" })), {
     kind: "merged",
     missingParts: 1,
   });
   const late = new RequestDriver(GATHER);
-  t.equal(replyOf(late.dispatch({ kind: "timer", timer: "aim" })), undefined);
+  t.equal(replyOf(late.dispatch({ kind: "timer", timer: "objective" })), undefined);
   t.match(replyOf(late.endAttempt(2, answered(200, "y"))), { kind: "merged", missingParts: 1 });
 });
 
-t.test("a leaf's failure is no part, even with a signature", async (t) => {
+t.test("an error answer of a leaf is not a part, even with a signature", async (t) => {
   const driver = new RequestDriver(GATHER);
   t.same(calledLeafIds(driver.endAttempt(1, answered(500, "x"))), ["s1-b"]);
   t.equal(driver.state.partsIn, 0);
 });
 
-t.test("a query that cannot reach its least share is answered at once", async (t) => {
+t.test("a query that cannot reach its minimum share is answered immediately", async (t) => {
   const driver = new RequestDriver({
     ...GATHER,
     target: { kind: "gather", shards: ["s1", "s2"], topRecords: 2, leastShare: 1 },
@@ -71,7 +71,7 @@
   });
 });
 
-t.test("a request that must not run twice is not sent again once a byte went out", async (t) => {
+t.test("a non-repeatable request is not sent again once a byte was sent", async (t) => {
   const driver = new RequestDriver(NON_REPEATABLE);
   const effects = driver.endAttempt(1, { kind: "failed", sent: true, reason: "reset" });
   t.same(calledLeafIds(effects), []);
@@ -79,17 +79,23 @@
   t.notOk(driver.effects.some((effect) => effect.kind === "wake"));
 });
 
-t.test("a request that has not run goes to another leaf, whatever its kind", async (t) => {
-  const unsent = new RequestDriver(NON_REPEATABLE);
-  t.same(calledLeafIds(unsent.endAttempt(1, { kind: "failed", sent: false, reason: "refused" })), [
-    "s1-b",
-  ]);
-  const refused = new RequestDriver(NON_REPEATABLE);
-  t.same(calledLeafIds(refused.endAttempt(1, { kind: "refused", reason: "full" })), ["s1-b"]);
-  t.match(replyOf(refused.endAttempt(2, { kind: "refused", reason: "full" })), { kind: "notRun" });
-});
+t.test(
+  "a request that has not run is sent to another leaf, even if it is not repeatable",
+  async (t) => {
+    const unsent = new RequestDriver(NON_REPEATABLE);
+    t.same(
+      calledLeafIds(unsent.endAttempt(1, { kind: "failed", sent: false, reason: "refused" })),
+      ["s1-b"],
+    );
+    const refused = new RequestDriver(NON_REPEATABLE);
+    t.same(calledLeafIds(refused.endAttempt(1, { kind: "refused", reason: "full" })), ["s1-b"]);
+    t.match(replyOf(refused.endAttempt(2, { kind: "refused", reason: "full" })), {
+      kind: "notRun",
+    });
+  },
+);
 
-t.test("no request is told not to have run while an attempt may have", async (t) => {
+t.test("no request is reported as not run while an attempt may have run", async (t) => {
   const driver = new RequestDriver(NON_REPEATABLE);
   t.match(replyOf(driver.dispatch({ kind: "timer", timer: "deadline" })), {
     kind: "failed",
@@ -97,19 +103,19 @@
   });
 });
 
-t.test("a shard is never sent to more leafs than the route allows", async (t) => {
+t.test("a shard has no more attempts than the route allows", async (t) => {
   const driver = new RequestDriver({ ...SINGLE, maxAttempts: 1 });
   driver.nowMs = 45;
   t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), []);
   t.same(calledLeafIds(driver.endAttempt(1, { kind: "failed", sent: true, reason: "reset" })), []);
 });
 
-t.test("a success without a signature is never passed on", async (t) => {
+t.test("a success without a signature is not passed on", async (t) => {
   const driver = new RequestDriver(NON_REPEATABLE);
   t.match(replyOf(driver.endAttempt(1, answered(200, ""))), { kind: "failed" });
 });
 
-t.test("all calls are abandoned when the caller goes", async (t) => {
+t.test("all calls are abandoned when the caller disconnects", async (t) => {
   const driver = new RequestDriver(GATHER);
   const effects = driver.dispatch({ kind: "callerGone" });
   t.same(
@@ -119,36 +125,33 @@
   t.same(calledLeafIds(driver.endAttempt(1, answered(500, ""))), []);
 });
 
-t.test("a policy's share of the parts ends the wait before the aim", async (t) => {
+t.test("a policy's share of the parts suffices before the latency objective", async (t) => {
   const driver = new RequestDriver(GATHER, { finishShare: 0.5 });
   t.match(replyOf(driver.endAttempt(1, answered(200, "x"))), { kind: "merged", missingParts: 1 });
 });
 
-t.test("nothing is sent where too many shards have no leaf, and the refusal is true", async (t) => {
-  const most: Route = {
+t.test("nothing is sent if too many shards have no leaf, and the reply says so", async (t) => {
+  const mostShards: Route = {
     ...GATHER,
     target: { kind: "gather", shards: ["s1", "s2"], topRecords: 2, leastShare: 0.9 },
   };
-  const driver = new RequestDriver(most, { withoutLeafs: ["s2"] });
+  const driver = new RequestDriver(mostShards, { withoutLeafs: ["s2"] });
   t.same(calledLeafIds(driver.effects), []);
   t.match(replyOf(driver.effects), { kind: "notRun" });
   const fewer = new RequestDriver(GATHER, { withoutLeafs: ["s2"] });
-  t.same(calledLeafIds(fewer.effects), ["s1-a"], "half of the parts suffice");
+  t.same(calledLeafIds(fewer.effects), ["s1-a"], "half of the shards suffice");
 });
 
-t.test(
-  "an answer withdraws the calls that are still open, as far as nothing was sent",
-  async (t) => {
-    const driver = new RequestDriver(GATHER);
-    driver.endAttempt(1, answered(200, "one"));
-    const effects = driver.dispatch({ kind: "timer", timer: "aim" });
-    t.equal(replyOf(effects)?.kind, "merged");
-    const withdrawn = effects.filter(({ kind }) => kind === "withdraw");
-    t.same(withdrawn, [{ kind: "withdraw", attemptId: 2 }]);
-  },
-);
+t.test("a reply withdraws the open calls of which nothing has been sent", async (t) => {
+  const driver = new RequestDriver(GATHER);
+  driver.endAttempt(1, answered(200, "one"));
+  const effects = driver.dispatch({ kind: "timer", timer: "objective" });
+  t.equal(replyOf(effects)?.kind, "merged");
+  const withdrawn = effects.filter(({ kind }) => kind === "withdraw");
+  t.same(withdrawn, [{ kind: "withdraw", attemptId: 2 }]);
+});
 
-t.test("a second call that the budget refused is asked for again a little later", async (t) => {
+t.test("a hedge that the budget refused is tried again later", async (t) => {
   const driver = new RequestDriver(GATHER, { extraCalls: 0 });
   driver.nowMs = 60;
   const refused = driver.dispatch({ kind: "timer", timer: "hedge" });
@@ -162,26 +165,26 @@
 
 const REFUSED = { kind: "refused", reason: "full" } as const;
 
-t.test("a leaf that refused is asked again where no other is left, a few times", async (t) => {
+t.test("a leaf that refused is called again a few times if no other is left", async (t) => {
   const driver = new RequestDriver(GATHER, { extraCalls: 10 });
-  t.same(calledLeafIds(driver.endAttempt(1, REFUSED)), ["s1-b"], "the other one first");
+  t.same(calledLeafIds(driver.endAttempt(1, REFUSED)), ["s1-b"], "the other leaf first");
   t.same(calledLeafIds(driver.endAttempt(3, REFUSED)), ["s1-a"]);
   t.same(calledLeafIds(driver.endAttempt(4, REFUSED)), ["s1-a"]);
-  t.same(calledLeafIds(driver.endAttempt(5, REFUSED)), [], "then the shard is given up");
+  t.same(calledLeafIds(driver.endAttempt(5, REFUSED)), [], "then the shard fails");
   t.equal(driver.state.partsLost, 1);
 });
 
-t.test("a leaf that refused is not asked again behind a queue", async (t) => {
+t.test("a leaf that refused is not called again if its queue is long", async (t) => {
   const driver = new RequestDriver(GATHER, { queueMs: { s1: 60 } });
   driver.endAttempt(1, REFUSED);
   t.same(calledLeafIds(driver.endAttempt(3, REFUSED)), []);
 });
 
-t.test("a retry is paid like a hedge where the answer would have its least share", async (t) => {
+t.test("a retry is charged as a hedge if the open calls reach the minimum share", async (t) => {
   const kinds: Array<string> = [];
   const driver = new RequestDriver(GATHER_MANY, { onExtraCall: (kind) => kinds.push(kind) });
   driver.endAttempt(1, answered(500, "x"));
-  t.same(kinds, ["hedge"], "three of four shards are under way, two suffice");
+  t.same(kinds, ["hedge"], "calls for three of four shards are open, two suffice");
   driver.endAttempt(2, answered(500, "x"));
   driver.endAttempt(3, answered(500, "x"));
   driver.endAttempt(5, answered(500, "x"));
@@ -196,22 +199,22 @@
   t.same(needed, ["retry"], "each shard is needed");
 });
 
-t.test("a shard is not asked again for time that the box itself was busy", async (t) => {
+t.test("a shard is not hedged for time in which the box itself was stalled", async (t) => {
   const driver = new RequestDriver(GATHER);
   driver.nowMs = 45;
   driver.eventLoopIdleMs = 10;
   t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), []);
-  t.match(driver.effects, [{ kind: "wake", timer: "hedge" }], "it is looked at again");
+  t.match(driver.effects, [{ kind: "wake", timer: "hedge" }], "it is checked again");
   driver.nowMs = 80;
   driver.eventLoopIdleMs = 45;
   t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), ["s1-b", "s2-b"]);
 });
 
-t.test("a shard that no budget pays for waits for its next turn", async (t) => {
+t.test("a shard without budget is deferred", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { extraCalls: 0 });
   driver.endAttempt(1, answered(500, "x"));
   driver.endAttempt(2, answered(500, "x"));
-  t.equal(replyOf(driver.endAttempt(3, answered(500, "x"))), undefined, "nothing is given up");
+  t.equal(replyOf(driver.endAttempt(3, answered(500, "x"))), undefined, "the query has not failed");
   driver.extraCalls = 10;
   driver.nowMs = 20;
   t.same(calledLeafIds(driver.dispatch({ kind: "timer", timer: "hedge" })), [
@@ -222,7 +225,7 @@
   t.equal(driver.state.partsLost, 0);
 });
 
-t.test("a shard that has no turn for long is lost", async (t) => {
+t.test("a shard that stays deferred for too long fails", async (t) => {
   const driver = new RequestDriver(GATHER, { extraCalls: 0 });
   driver.endAttempt(1, answered(500, "x"));
   driver.endAttempt(2, answered(500, "x"));
@@ -230,5 +233,5 @@
     driver.dispatch({ kind: "timer", timer: "hedge" });
   }
   t.match(replyOf(driver.effects), { kind: "failed" });
-  t.ok(driver.nowMs <= 220, `given up after ${driver.nowMs} ms at an aim of 100`);
+  t.ok(driver.nowMs <= 220, `failed after ${driver.nowMs} ms with a latency objective of 100 ms`);
 });
--- a/request/request_state.ts
+++ b/request/request_state.ts
@@ -1,5 +1,5 @@
 /**
- * One caller's request while it is being answered.
+ * State, events and effects of one caller's request.
  *
  * @module
  */
@@ -10,233 +10,252 @@
 import type { CallPermission } from "../quarantine/mod.js";
 import type { Route } from "../routing/mod.js";
 
-/** Headers of an answer, names in lower case. */
+/** Headers of an answer, with lower-case names. */
 export type AnswerHeaders = Readonly<Record<string, string | ReadonlyArray<string> | undefined>>;
 
-/** What a leaf answered, whole. */
+/** The complete answer of a leaf. */
 export interface LeafAnswer {
   readonly statusCode: number;
-  /** Headers as the leaf gave them, names in lower case. */
+  /** Headers as sent by the leaf, with lower-case names. */
   readonly headers: AnswerHeaders;
-  /** Signature by which the leaf stands for the answer; empty where it gave none. */
+  /** Signature with which the leaf vouches for the answer; empty if there is none. */
   readonly signature: string;
   readonly body: Buffer;
 }
 
-/** Why another box has no part. */
+/** Why another box has no part for a shard. */
 export type FailedPart =
-  /** No leaf was asked. */
+  /** No leaf was called. */
   | "declined"
   /** The leaf refused the call. */
   | "refused"
-  /** The leaf gave no whole answer. */
+  /** The leaf gave no complete answer. */
   | "failed"
-  /** The leaf's connection ended before its answer. */
+  /** The leaf's connection was closed before it answered. */
   | "connection lost"
-  /** The box does not send the query, as leafs were lost under it. */
+  /** The box blocks the query because it has crashed leafs. */
   | "blocked";
 
-/** Parts of several shards that another box has got and merged. */
+/** Parts (partial results of shards) that another box has collected and merged. */
 export interface RelayedParts {
-  /** Signatures of the parts that are in, by service. */
+  /** Signatures of the received parts, by service. */
   readonly signatures: ReadonlyMap<string, string>;
   /** The greatest records of those parts. */
   readonly records: Buffer;
-  /** Services of which there is no part, and why; those not named may still come. */
+  /**
+   * Why a service has no part. Parts of services that are neither here nor in `signatures` may
+   * still follow.
+   */
   readonly failed: ReadonlyMap<string, FailedPart>;
-  /** Time that calls wait at the leafs near the box, in milliseconds; told with the first parts. */
+  /** Queue wait at the leafs near the box, in milliseconds; reported with the first parts. */
   readonly queueMs?: number;
 }
 
 /** How an attempt at a leaf ended. */
 export type AttemptOutcome =
-  /** The leaf answered, with success or with a failure of its own. */
+  /** The leaf answered, with a success or an error. */
   | { readonly kind: "answered"; readonly answer: LeafAnswer }
-  /** The leaf did not run the request and said so. */
+  /** The leaf stated that it did not run the request. */
   | { readonly kind: "refused"; readonly reason: "full" | "gone" }
-  /** There was no whole answer. */
+  /** There was no complete answer. */
   | {
       readonly kind: "failed";
       /** Whether any byte may have reached the leaf. */
       readonly sent: boolean;
       readonly reason: string;
-      /** Whether the leaf's connection ended while the answer was awaited: the leaf may have ended with it. */
+      /**
+       * Whether the leaf's connection was closed before it answered, so that the leaf may have
+       * crashed.
+       */
       readonly connectionClosed?: boolean;
-      /** Why it was not sent, where the leaf may not be called at this moment. */
+      /** Why the call was not sent, if the leaf may not be called. */
       readonly blockReason?: BlockReason;
     };
 
-/** One try to get a shard's part, from a leaf or through a box near its leafs. */
+/** One attempt to get a shard's part, from a leaf or through a box near its leafs. */
 export interface Attempt {
   readonly attemptId: number;
-  /** Leaf or box that was asked. */
+  /** Id of the leaf or box that was called. */
   readonly calledId: string;
   readonly startedAtMs: number;
-  /** The same moment by the clock that stands still while this box is busy. */
-  readonly startedAtWaitedMs: number;
-  /** Time in which it is expected to be answered, in milliseconds. */
+  /** Idle time of the event loop at the start, in milliseconds. */
+  readonly startedAtIdleMs: number;
+  /** Expected time to an answer, in milliseconds. */
   readonly expectedMs: number;
-  /** Least time before which nothing can be concluded from its silence, in milliseconds. */
+  /** Minimum time before the attempt is hedged, in milliseconds. */
   readonly minHedgeDelayMs: number;
 }
 
-/** What a call beyond a shard's first is for; one in place of a call that was never sent is no extra call. */
+/**
+ * Purpose of a call beyond a shard's first. A replacement for a call that was never sent is not an
+ * extra call.
+ */
 export type ExtraAttemptKind = ExtraCallKind | "replacement";
 
-/** A call that is to be made later. */
+/** An attempt that is deferred. */
 export interface DeferredAttempt {
   readonly atMs: number;
   readonly kind: ExtraAttemptKind;
 }
 
-/** One shard of a request; a request to a single leaf has one. */
+/** One shard of a request. A request to a single leaf has one. */
 export interface ShardState {
   readonly service: string;
-  /** Leafs asked so far; none is asked twice but those that refused and so did not run the request. */
+  /**
+   * Leafs called so far. Only leafs that refused, and so did not run the request, are called again.
+   */
   readonly calledLeafIds: ReadonlySet<string>;
-  /** Leafs that refused, once for each call. */
+  /** Leafs that refused, once for each refused call. */
   readonly refusedBy: ReadonlyArray<string>;
-  /** Leaf that another box was expected to ask; asked directly only where no other is left. */
+  /** Leaf that another box was expected to call. It is called directly only if no other is left. */
   readonly expectedRelayLeafId: string | undefined;
-  /** Attempts that may have run, those under way included. */
+  /** Number of attempts that may have run, including open ones. */
   readonly runs: number;
   readonly open: ReadonlyArray<Attempt>;
   readonly part: LeafAnswer | undefined;
-  /** Whether its part came in through another box; goes before a part of its own. */
+  /**
+   * Whether the part was received through another box, which takes precedence over a direct one.
+   */
   readonly relayed: boolean;
-  /** When it is asked again and what for, where no call is under way and none could be made yet. */
+  /** The deferred attempt, if no call is open and none could be made yet. */
   readonly next: DeferredAttempt | undefined;
-  /** A leaf's own failure, kept in case there is nothing better. */
+  /** An error answer of a leaf, used as the reply if there is no better one. */
   readonly errorAnswer: LeafAnswer | undefined;
-  /** Whether nothing more can be got for it. */
+  /** Whether no part can be received any more. */
   readonly failed: boolean;
 }
 
-/** A request as its caller sent it, as far as deciding goes. */
+/** Immutable properties of a request. */
 export interface RequestTerms {
-  /** Id that the caller gave the attempt. */
+  /** Id that the caller gave the request. */
   readonly requestId: string;
   readonly route: Route;
   readonly arrivedAtMs: number;
-  /** Moment at which the final answer is due: the caller's deadline or the route's timeout. */
+  /** Time at which the reply is due: the caller's deadline or the route's timeout. */
   readonly deadlineAtMs: number;
-  /** Moment by which the answer is worth most. */
+  /** Time by which the reply is worth most. */
   readonly objectiveAtMs: number;
-  /** Attempts for each shard, as policy and route allow. */
+  /** Maximum attempts for each shard, as policy and route allow. */
   readonly maxAttempts: number;
   /**
-   * Longest time that calls may be expected to wait at leafs, in milliseconds; with more the request
-   * could hardly be answered by its aim, and the leafs had better work on others.
+   * Maximum expected queue wait at leafs, in milliseconds. With longer queues the request would
+   * likely miss its latency objective.
    */
   readonly maxQueueMs: number;
-  /** Share of the parts, 0 to 1, with which the answer is given without waiting for more. */
+  /** Share of the parts, 0 to 1, with which the reply is sent without waiting for more. */
   readonly finishShare: number;
 }
 
-/** Everything known of a request. */
+/** State of a request. */
 export interface RequestState {
   readonly terms: RequestTerms;
   readonly shards: ReadonlyArray<ShardState>;
   readonly partsIn: number;
   readonly partsLost: number;
-  /** Parts that came in through other boxes; no shard is in two of them. */
+  /** Parts received through other boxes. No shard is in two of them. */
   readonly relayed: ReadonlyArray<RelayedParts>;
   readonly nextAttemptId: number;
-  /** Whether the leafs' queues were long when it was planned, so that second calls would add to them. */
+  /**
+   * Whether the leafs' queues were long when the request was planned, so that extra calls would add
+   * to them.
+   */
   readonly congested: boolean;
-  /** Whether the aim has passed, so that the least share suffices. */
+  /** Whether the latency objective has passed, so that the minimum share suffices. */
   readonly pastObjective: boolean;
   readonly done: boolean;
 }
 
-/** What the caller gets. */
+/** What the caller receives. */
 export type Reply =
   /** A leaf's answer, unchanged. */
   | { readonly kind: "passed"; readonly answer: LeafAnswer }
-  /** The merged records of the parts that are in. */
+  /** The merged records of the received parts. */
   | {
       readonly kind: "merged";
       readonly records: Buffer;
       readonly signatures: ReadonlyArray<string>;
       readonly missingParts: number;
     }
-  /** The configuration in force has no route for it. */
+  /** No route of the current configuration matches the request. */
   | { readonly kind: "noRoute" }
   /** The request has not run and never will. */
   | {
       readonly kind: "notRun";
       readonly reason: string;
       readonly retryAfterMs: number;
-      /** The queues that it was refused for, for the log. */
+      /** The queues that caused the refusal, for the log. */
       readonly overload?: Overload;
-      /** The parts that it was refused for, for the log. */
+      /** The expected shortfall that caused the refusal, for the log. */
       readonly shortfall?: PartsShortfall;
     }
-  /** It may have run and there is no answer. */
+  /** The request may have run, but there is no answer. */
   | { readonly kind: "failed"; readonly reason: "deadline" | "leafs failed" };
 
-/** One shard that another box is asked for. */
+/** One shard that another box is to collect. */
 export interface RelayedCall {
   readonly service: string;
-  /** Leaf that the box is expected to ask. */
+  /** Leaf that the box is expected to call. */
   readonly leafId: string;
 }
 
-/** One leaf that another box is asked to call. */
+/** One leaf that another box is to call. */
 export interface RemoteCall {
   readonly attemptId: number;
   readonly service: string;
   readonly leafId: string;
 }
 
-/** What is to be done for a request. */
+/** An effect of a request. */
 export type RequestEffect =
   | {
       readonly kind: "call";
       readonly attemptId: number;
       readonly shardIndex: number;
       readonly leafId: string;
-      /** Where a box near the leaf stands, if it had better be asked through one. */
+      /** Location of a box through which the leaf is better called, if any. */
       readonly relayPlace: string | undefined;
       readonly deadlineAtMs: number;
-      /** Whether it is the only call of a query under which leafs were lost. */
+      /** Whether it is the only call of a suspected query in flight. */
       readonly isTrial: boolean;
     }
-  /** Asks leafs elsewhere through one box near them, each part by itself. */
+  /** Calls remote leafs through one box near them. Each part is returned separately. */
   | {
       readonly kind: "askThrough";
       readonly box: string;
       readonly calls: ReadonlyArray<RemoteCall>;
-      /** Records below this one are not wanted any more; all are where there is none. */
+      /** Lower bound of the records that are wanted; no bound if `undefined`. */
       readonly minRecord: Buffer | undefined;
       readonly deadlineAtMs: number;
     }
-  /** Has one box near the leafs of several shards ask them, and hand over their parts merged. */
+  /** Has a box near the leafs of several shards call them and return their parts merged. */
   | {
       readonly kind: "relay";
       readonly attemptId: number;
       readonly box: string;
       readonly calls: ReadonlyArray<RelayedCall>;
-      /** Longest time that the box waits before it hands over what has come in, in milliseconds. */
+      /**
+       * Maximum time for which the box collects parts before it returns those it has, in
+       * milliseconds.
+       */
       readonly waitLimitMs: number;
       readonly deadlineAtMs: number;
     }
   | { readonly kind: "abandon"; readonly attemptId: number }
-  /** Takes an attempt back if nothing of it has been sent; else lets it run. */
+  /** Cancels an attempt if nothing of it has been sent; otherwise it continues. */
   | { readonly kind: "withdraw"; readonly attemptId: number }
   | { readonly kind: "wake"; readonly timer: RequestTimer; readonly atMs: number }
   | { readonly kind: "reply"; readonly reply: Reply };
 
-/** Moments at which a request is looked at again. */
-export type RequestTimer = "hedge" | "aim" | "deadline";
+/** Timers of a request. */
+export type RequestTimer = "hedge" | "objective" | "deadline";
 
-/** What happens to a request. */
+/** An event of a request. */
 export type RequestEvent =
   | { readonly kind: "started" }
   | {
       readonly kind: "attemptEnded";
       readonly attemptId: number;
-      /** The only shard that it was for, where that is known. */
+      /** The only shard of the attempt, if known. */
       readonly shardIndex?: number;
       readonly outcome: AttemptOutcome;
     }
@@ -248,51 +267,55 @@
   | { readonly kind: "timer"; readonly timer: RequestTimer }
   | { readonly kind: "callerGone" };
 
-/** A leaf that may be asked. */
+/** A leaf that may be called. */
 export interface LeafChoice {
   readonly leafId: string;
-  /** Time in which it is expected to answer, in milliseconds. */
+  /** Expected time to an answer, in milliseconds. */
   readonly expectedMs: number;
-  /** Where a box near the leaf stands, if it had better be asked through one. */
+  /** Location of a box through which the leaf is better called, if any. */
   readonly relayPlace: string | undefined;
-  /** Time that a call is expected to wait there before it is run, in milliseconds. */
+  /** Expected queue wait at the leaf, in milliseconds. */
   readonly queueMs: number;
-  /** Share of the calls there that are to be expected to come to nothing, 0 to 1. */
+  /** Expected failure rate of calls to the leaf, 0 to 1. */
   readonly failureRate: number;
 }
 
-/** A box that may be asked for the parts of leafs near it. */
+/** A box that may relay calls to leafs near it. */
 export interface BoxChoice {
   readonly box: string;
-  /** Time in which it is expected to answer, in milliseconds. */
+  /** Expected time to an answer, in milliseconds. */
   readonly expectedMs: number;
 }
 
-/** What a request may ask of its box while deciding. */
+/** What a request may use of its box while deciding. */
 export interface RequestContext {
   readonly nowMs: number;
-  /** The moment by the clock that stands still while this box is busy, in milliseconds. */
+  /**
+   * Total idle time of the event loop, in milliseconds: a clock that stops while this process is
+   * stalled.
+   */
   readonly eventLoopIdleMs: number;
-  /** Picks the leaf to ask next, or nothing where there is none but those excluded. */
+  /** Selects the leaf to call next, or `undefined` if all candidates are excluded. */
   chooseLeaf(service: string, excluded: ReadonlySet<string>): LeafChoice | undefined;
-  /** Picks a box at a place to ask through, or nothing where there is none to rely on. */
+  /** Selects a box at a location to call through, or `undefined` if none is available. */
   chooseBox(relayPlace: string): BoxChoice | undefined;
   /**
-   * Notes the wait at the leafs of an index, by which the next queries are judged as well.
+   * Records the queue wait at the leafs of an index, by which later queries are judged as well.
    *
-   * @param index - Names the index: its first shard.
-   * @param queueMs - The wait that nearly half of a query's calls would have, or more, in milliseconds.
-   * @returns The wait that all the latest looks have found, in milliseconds.
+   * @param index - Identifies the index: its first shard.
+   * @param queueMs - Queue wait that almost half of the query's calls would have at least, in
+   *   milliseconds.
+   * @returns The persistent queue wait: the minimum of the recent samples, in milliseconds.
    */
   noteQueue(index: string, queueMs: number): number;
-  /** Takes a call beyond the first out of the service's budget, if that allows it. */
+  /** Charges an extra call to the service's budget, if the budget allows it. */
   takeExtraCall(service: string, kind: ExtraCallKind): boolean;
-  /** Tells how many extra calls the service's budget allows now. */
+  /** Returns how many extra calls the service's budget allows now. */
   extraCallsLeft(service: string): number;
-  /** Tells how the next call may go: leafs may have been lost under the query. */
+  /** Returns how the next call may be made, as the query may have crashed leafs. */
   calling(): CallPermission;
-  /** Claims the only call that may be under way. */
+  /** Claims the only call that may be in flight. */
   beginTrial(): void;
-  /** Tells when a query that is held may come back, as the time from now in milliseconds. */
+  /** Returns the retry delay for a blocked query, in milliseconds. */
   blockedForMs(): number;
 }
