--- a/calls/_answer_reader.ts
+++ b/calls/_answer_reader.ts
@@ -17,40 +17,40 @@
 import type { PendingCall } from "./_releasing_handler.js";
 import type { LeafCall } from "./leaf_call.js";
 
-/** Why a call ended that this box took back. */
+/** Reason of a call that this box cancelled. */
 export const ABANDONED = "abandoned";
 
-/** Why a call ended whose answer is longer than what is taken. */
+/** Reason of a call whose answer exceeds its size limit. */
 const TOO_LONG = "answer is too long";
 
-/** How a call ended, with what the leaf told beside it. */
+/** How a call ended, with the load that the leaf reported. */
 export interface EndedCall extends LeafLoadReport {
   readonly outcome: AttemptOutcome;
 }
 
-/** What reading answers needs of the box. */
+/** Dependencies of an answer reader. */
 export interface AnswerReaderOptions {
   readonly nowMs: () => number;
-  /** Asked again when a connection is free, as the call may have waited for it. */
+  /** Checked again when a connection becomes available, as the call may have waited for it. */
   readonly access: Pick<LeafAccess, "blockReasonForCall" | "noteSent">;
 }
 
 /**
- * Makes the outcome of a call that may not go to its leaf.
+ * Creates the outcome of a call that may not be sent to its leaf.
  *
- * @param barrier - Why it may not.
+ * @param blockReason - Why it may not be sent.
  * @returns The outcome; nothing was sent.
  */
-export function blockedOutcome(barrier: BlockReason): AttemptOutcome {
+export function blockedOutcome(blockReason: BlockReason): AttemptOutcome {
   return {
     kind: "failed",
     sent: false,
-    reason: describeBlockReason(barrier),
-    blockReason: barrier,
+    reason: describeBlockReason(blockReason),
+    blockReason,
   };
 }
 
-/** Reads one answer whole; anything else ends the call and its connection. */
+/** Reads one complete answer. Any other result ends the call and closes its connection. */
 export class AnswerReader implements PendingCall {
   readonly #call: LeafCall;
   readonly #options: AnswerReaderOptions;
@@ -78,9 +78,9 @@
   }
 
   admit(): boolean {
-    const barrier = this.#options.access.blockReasonForCall(this.#call);
-    if (barrier !== undefined) {
-      this.#end(blockedOutcome(barrier));
+    const blockReason = this.#options.access.blockReasonForCall(this.#call);
+    if (blockReason !== undefined) {
+      this.#end(blockedOutcome(blockReason));
       return false;
     }
     this.#options.access.noteSent(this.#call.leaf);
@@ -167,12 +167,12 @@
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    const connectionLost = this.#sent && this.#statusCode === 0;
+    const connectionClosed = this.#sent && this.#statusCode === 0;
     this.#end({
       kind: "failed",
       sent: this.#sent,
       reason: error.message,
-      connectionClosed: connectionLost,
+      connectionClosed,
     });
   }
 
--- a/calls/_leaf_call_harness.ts
+++ b/calls/_leaf_call_harness.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to leafs on this machine, for tests.
+ * Helpers for tests that call leafs on this machine.
  *
  * @module
  */
@@ -40,7 +40,7 @@
   return new Quarantine({ nowMs, isTrialBox: () => true, onChange: () => undefined });
 }
 
-/** Access to all leafs, but for queries that are quarantined. */
+/** Access to all leafs, except for quarantined queries. */
 export function unrestrictedAccess(quarantine = makeQuarantine()): LeafAccess {
   return new LeafAccess({
     routes: () => undefined,
@@ -63,7 +63,7 @@
 }
 
 /**
- * Says which leafs there are from now on.
+ * Replaces the known leafs.
  *
  * @param calls - The calls.
  * @param leafs - The leafs.
@@ -72,7 +72,7 @@
   calls.setLeafs(new Map(leafs.map((leaf) => [leaf.leafId, leaf])));
 }
 
-/** What of a call matters to a test. */
+/** Options of a test call. */
 export interface CallOptions {
   readonly requestId?: string;
   readonly leftMs?: number;
--- a/calls/_releasing_handler.ts
+++ b/calls/_releasing_handler.ts
@@ -1,48 +1,51 @@
 /**
- * Hands an answer on to its call, and the connection back to its line.
+ * Passes an answer to its call, and returns the connection to its pool.
  *
  * @module
  */
 import type { Dispatcher } from "undici";
 import type { LeafConnection } from "./leaf_connection.js";
 
-/** A call that is handed to a connection when one is free. */
+/** A call that waits for a connection. */
 export interface PendingCall extends Dispatcher.DispatchHandler {
-  /** Whether it is of no more use and is to be passed over. */
+  /** Whether the call has ended and must not be sent. */
   readonly isEnded: boolean;
-  /** Whether it may be sent again if its connection turns out to be gone. */
+  /** Whether it may be sent again if its connection turns out to be closed. */
   readonly isRepeatable: boolean;
-  /** Tells right before it is sent whether it may go to its leaf; one that may not has ended. */
+  /**
+   * Checks, right before sending, whether the call may go to its leaf. A call that may not has
+   * ended.
+   */
   admit(): boolean;
-  /** Makes the request, with the time that is left at this moment. */
+  /** Builds the request, with the time left until the deadline. */
   dispatchOptions(): Dispatcher.DispatchOptions;
-  /** Told when no connection could be opened for it: nothing was sent. */
+  /** Called when no connection could be opened for it. Nothing was sent. */
   onNoConnection(): void;
 }
 
-/** What a line is told of a call that is under way. */
+/** The owner of a connection that carries a call. */
 export interface ConnectionOwner {
-  /** Says that an answer has begun to come in. */
-  noteResponse(): void;
-  /** Says that a call has ended, so that its connection can carry the next. */
+  /** Records that an answer has begun to arrive. */
+  recordResponse(): void;
+  /** Records that a call has ended, so that its connection can carry the next. */
   release(connection: LeafConnection): void;
 }
 
-/** Hands an answer on, and the connection back once the answer has ended. */
+/** Passes an answer on, and releases the connection once the answer has ended. */
 export class ReleasingHandler implements Dispatcher.DispatchHandler {
   readonly #call: PendingCall;
   readonly #connection: LeafConnection;
-  readonly #line: ConnectionOwner;
+  readonly #owner: ConnectionOwner;
 
   /**
-   * @param call - Whose answer it is.
-   * @param connection - What carries it.
-   * @param line - Where the connection goes back.
+   * @param call - The call that is answered.
+   * @param connection - The connection that carries it.
+   * @param owner - The owner to which the connection is returned.
    */
-  constructor(call: PendingCall, connection: LeafConnection, line: ConnectionOwner) {
+  constructor(call: PendingCall, connection: LeafConnection, owner: ConnectionOwner) {
     this.#call = call;
     this.#connection = connection;
-    this.#line = line;
+    this.#owner = owner;
   }
 
   onRequestStart(controller: Dispatcher.DispatchController, context: unknown): void {
@@ -54,8 +57,8 @@
     statusCode: number,
     headers: Parameters<NonNullable<PendingCall["onResponseStart"]>>[2],
   ): void {
-    this.#connection.noteResponse();
-    this.#line.noteResponse();
+    this.#connection.recordResponse();
+    this.#owner.recordResponse();
     this.#call.onResponseStart?.(controller, statusCode, headers);
   }
 
@@ -80,8 +83,10 @@
     this.#call.onResponseError?.(controller, error);
   }
 
-  /** A moment later, as undici frees the connection only after its handler has returned. */
+  /**
+   * Deferred to a microtask, as undici frees the connection only after its handler has returned.
+   */
   #release(): void {
-    queueMicrotask(() => this.#line.release(this.#connection));
+    queueMicrotask(() => this.#owner.release(this.#connection));
   }
 }
--- a/calls/leaf_call.ts
+++ b/calls/leaf_call.ts
@@ -1,5 +1,5 @@
 /**
- * A call to a leaf, as it is asked for.
+ * A call to a leaf.
  *
  * @module
  */
@@ -13,36 +13,35 @@
   readonly requestId: string;
   readonly method: string;
   readonly path: string;
-  /** The caller's headers that are passed on, names and values by turns. */
+  /** The caller's headers that are passed on: alternating names and values. */
   readonly headers: ReadonlyArray<string>;
   readonly body: Buffer | undefined;
   /** Host and path of the request; the same object for all its calls. */
   readonly routeKey: RouteKey;
-  /** The same for all requests that ask for the same thing. */
+  /** Identifies the query: equal for all requests with the same content. */
   readonly fingerprint: string;
-  /** Whether it is the only call of a query under which leafs were lost. */
+  /** Whether it is the only call of a suspected query in flight. */
   readonly isTrial: boolean;
-  /** Longest answer that is taken, in bytes. */
+  /** Maximum length of the answer, in bytes. */
   readonly maxBytes: number;
   /** Whether it may run more than once. */
   readonly repeatable: boolean;
-  /** Moment at which the answer is of no more use, on this box's clock. */
+  /** Time after which the answer is of no use, on this box's clock. */
   readonly deadlineAtMs: number;
 }
 
 /**
- * Longest answers of one request that a box holds together, in bytes: a fifth of the least memory of a box, where
- * parts of a query come to some 130 KB and single answers to less. One without an end took 1 GB within two
- * seconds, and the caller would have turned to the next box.
+ * Maximum total length of the answers of one request, in bytes. Bounds the memory that an endless
+ * answer can take.
  */
-const MOST_REQUEST_BYTES = 48 * 1_048_576;
+const MAX_REQUEST_BYTES = 48 * 1_048_576;
 
 /**
- * Tells how long the answer to one call may be, so that all of a request's together are bounded.
+ * Computes the maximum length of the answer to one call, so that the total of a request is bounded.
  *
- * @param shardCount - Shards of the request.
+ * @param shardCount - Number of shards of the request.
  * @returns The length, in bytes.
  */
 export function maxAnswerBytes(shardCount: number): number {
-  return Math.floor(MOST_REQUEST_BYTES / Math.max(1, shardCount));
+  return Math.floor(MAX_REQUEST_BYTES / Math.max(1, shardCount));
 }
--- a/calls/leaf_calls.ts
+++ b/calls/leaf_calls.ts
@@ -1,5 +1,5 @@
 /**
- * Calls leafs over kept connections and notes how each leaf behaves.
+ * Calls leafs over persistent connections and records how each leaf behaves.
  *
  * @module
  */
@@ -19,32 +19,32 @@
 import type { LeafCall } from "./leaf_call.js";
 import { LeafConnectionPool } from "./leaf_connection_pool.js";
 
-/** A call under way. */
+/** A call in progress. */
 export interface OpenCall {
-  /** Breaks the call off; its connection is closed with it. */
+  /** Aborts the call and closes its connection. */
   abandon(): void;
-  /** Takes the call back if nothing of it has been sent; else lets it run. */
+  /** Cancels the call if nothing of it has been sent; otherwise it continues. */
   withdraw(): void;
 }
 
-/** What the calls need. */
+/** Dependencies of the calls. */
 export interface LeafCallsOptions {
   readonly nowMs: () => number;
-  /** Tells the moment by a clock that stands still while this box is busy, in milliseconds. */
+  /** Returns the total idle time of this process's event loop, in milliseconds. */
   readonly eventLoopIdleMs: () => number;
-  /** Most connections of this box to a leaf of a service. */
+  /** Maximum number of connections from this box to a leaf of a service. */
   readonly maxConnectionsTo: (service: string) => number;
-  /** Told how each call ended: a query may end the leafs that run it. */
+  /** Receives the outcome of each call, as a query may crash the leafs that run it. */
   readonly quarantine: Pick<Quarantine, "permission" | "endTrial" | "recordAnswer" | "recordCrash">;
-  /** Asked right before each call whether it may go to its leaf. */
+  /** Checked right before each call is sent. */
   readonly access: Pick<LeafAccess, "blockReasonForCall" | "noteSent">;
-  /** Told when a call is sent and none was open. */
+  /** Called when a call is sent while none is open. */
   readonly onBusy?: () => void;
-  /** Told how each call ended. */
+  /** Called with the result of each call. */
   readonly onEnd: (result: CallEnd["result"]) => void;
 }
 
-/** Time after its deadline at which a call is broken off, in milliseconds. */
+/** Time after its deadline at which a call is aborted, in milliseconds. */
 const OVERDUE_MS = 100;
 
 interface OpenEntry {
@@ -56,40 +56,40 @@
 }
 
 /**
- * What this box has with one incarnation of a leaf. Calls keep hold of it to their end, so that one that was
- * sent to a former incarnation shows nothing of the next.
+ * State of one incarnation of a leaf. Calls refer to it until they end, so that a call to a former
+ * incarnation does not affect the next one.
  */
 interface LeafIncarnation {
   health: LeafHealth;
-  line: LeafConnectionPool | undefined;
+  pool: LeafConnectionPool | undefined;
 }
 
-/** Connections to all leafs, and what was seen of them. */
+/** Connections to all leafs, and their observed health. */
 export class LeafCalls {
   readonly #options: LeafCallsOptions;
   readonly #incarnations = new Map<string, LeafIncarnation>();
-  /** Leafs as they were last told, by id. */
-  #known: ReadonlyMap<string, Leaf> = new Map();
+  /** The current leafs, by id. */
+  #leafs: ReadonlyMap<string, Leaf> = new Map();
   readonly #open = new Map<number, OpenEntry>();
   #nextCallId = 1;
 
   /**
-   * @param options - What the calls need.
+   * @param options - Dependencies of the calls.
    */
   constructor(options: LeafCallsOptions) {
     this.#options = options;
   }
 
-  /** Calls that have not ended. */
+  /** Number of calls in progress. */
   get openCount(): number {
     return this.#open.size;
   }
 
   /**
-   * Tells what was seen of a leaf.
+   * Returns the observed health of a leaf.
    *
    * @param leafId - The leaf.
-   * @returns Its condition, or nothing where it was not asked yet.
+   * @returns Its health, or `undefined` if it has not been called yet.
    */
   health(leafId: string): LeafHealth | undefined {
     return this.#incarnations.get(leafId)?.health;
@@ -99,33 +99,33 @@
    * Sends a request to a leaf.
    *
    * @param call - The request.
-   * @param onEnd - Told once how it ended.
-   * @returns The call under way.
+   * @param onEnd - Called once with the outcome.
+   * @returns The call in progress.
    */
   send(call: LeafCall, onEnd: (outcome: AttemptOutcome) => void): OpenCall {
     const { fingerprint, isTrial } = call;
-    const barrier = this.#options.access.blockReasonForCall(call);
-    if (barrier !== undefined) {
-      queueMicrotask(() => onEnd(blockedOutcome(barrier)));
+    const blockReason = this.#options.access.blockReasonForCall(call);
+    if (blockReason !== undefined) {
+      queueMicrotask(() => onEnd(blockedOutcome(blockReason)));
       return { abandon: () => undefined, withdraw: () => undefined };
     }
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const waitedMs = this.#options.eventLoopIdleMs();
+    const eventLoopIdleMs = this.#options.eventLoopIdleMs();
     const incarnation = this.#incarnationOf(call.leaf.leafId);
-    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs });
-    const handler = new AnswerReader(call, this.#options, ({ outcome, ...news }) => {
+    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs: eventLoopIdleMs });
+    const handler = new AnswerReader(call, this.#options, ({ outcome, ...loadReport }) => {
       this.#open.delete(callId);
       const end: CallEnd = {
         callId,
-        ...this.#now(),
+        ...this.#times(),
         result: resultOf(outcome),
-        ...news,
+        ...loadReport,
         slots: call.leaf.slots,
       };
       incarnation.health = recordCallEnd(incarnation.health, end);
       this.#options.onEnd(end.result);
-      this.#noteForQuery(call, outcome);
+      this.#notifyQuarantine(call, outcome);
       onEnd(outcome);
     });
     const abandon = (): void => handler.abandon();
@@ -135,49 +135,50 @@
     }
     const { deadlineAtMs } = call;
     this.#open.set(callId, { fingerprint, isTrial, deadlineAtMs, abandon, withdraw });
-    incarnation.line ??= this.#openLine(call.leaf);
-    incarnation.line.send(handler);
+    incarnation.pool ??= this.#openPool(call.leaf);
+    incarnation.pool.send(handler);
     return { abandon, withdraw };
   }
 
   /**
-   * Notes a call that another box makes for this one, so that the leaf is judged by it as well.
+   * Records a call that another box makes on behalf of this one, so that it counts towards the
+   * leaf's health.
    *
-   * @param leafId - The leaf that is expected to be asked.
-   * @returns Notes how the call ended; only the first time counts.
+   * @param leafId - The leaf that is expected to be called.
+   * @returns A function that records the result; only its first call has an effect.
    */
   noteRelayed(leafId: string): (result: CallEnd["result"]) => void {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const waitedMs = this.#options.eventLoopIdleMs();
+    const eventLoopIdleMs = this.#options.eventLoopIdleMs();
     const incarnation = this.#incarnationOf(leafId);
-    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs });
-    let isNoted = false;
+    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs: eventLoopIdleMs });
+    let hasEnded = false;
     return (result) => {
-      if (!isNoted) {
-        isNoted = true;
-        const end = { callId, ...this.#now(), result };
+      if (!hasEnded) {
+        hasEnded = true;
+        const end = { callId, ...this.#times(), result };
         incarnation.health = recordCallEnd(incarnation.health, end);
       }
     };
   }
 
   /**
-   * Takes back the calls of a query that wait for a connection, as leafs were lost under it meanwhile. Those
-   * that were asked alone stay, unless the query is to go to no leaf at all.
+   * Withdraws the calls of a query that wait for a connection, after the query has crashed a leaf.
+   * Probe calls stay unless the query is blocked completely.
    *
    * @param fingerprint - The query.
    */
   withdrawBlocked(fingerprint: string): void {
-    const isHeld = this.#options.quarantine.permission(fingerprint) === "blocked";
+    const isBlocked = this.#options.quarantine.permission(fingerprint) === "blocked";
     for (const { isTrial, withdraw, ...open } of [...this.#open.values()]) {
-      if (open.fingerprint === fingerprint && (isHeld || !isTrial)) {
+      if (open.fingerprint === fingerprint && (isBlocked || !isTrial)) {
         withdraw();
       }
     }
   }
 
-  /** Breaks off the calls whose deadline has passed. */
+  /** Aborts the calls whose deadline has passed. */
   abandonOverdue(): void {
     const nowMs = this.#options.nowMs();
     for (const { deadlineAtMs, abandon } of [...this.#open.values()]) {
@@ -188,28 +189,28 @@
   }
 
   /**
-   * Takes in which leafs there are now. Of those that are gone or have started again all is forgotten, and
-   * their connections are closed; calls under way end first.
+   * Replaces the known leafs. The state of leafs that were removed or restarted is discarded, and
+   * their connections are closed once their calls have ended.
    *
    * @param leafs - The leafs, by id.
    */
   setLeafs(leafs: ReadonlyMap<string, Leaf>): void {
-    const before = this.#known;
-    this.#known = leafs;
-    for (const [leafId, { line }] of this.#incarnations) {
-      const former = before.get(leafId);
+    const formerLeafs = this.#leafs;
+    this.#leafs = leafs;
+    for (const [leafId, { pool }] of this.#incarnations) {
+      const former = formerLeafs.get(leafId);
       const leaf = leafs.get(leafId);
       const isRestarted =
         leaf !== undefined && former !== undefined && !isSameIncarnation(former, leaf);
       if (leaf === undefined || isRestarted) {
         this.#incarnations.delete(leafId);
-        line?.close({ givesUpWaiting: isRestarted });
+        pool?.close({ failPending: isRestarted });
       }
     }
   }
 
-  /** What a call's end says of its query. */
-  #noteForQuery({ fingerprint, isTrial }: LeafCall, outcome: AttemptOutcome): void {
+  /** Reports the outcome of a call to the quarantine. */
+  #notifyQuarantine({ fingerprint, isTrial }: LeafCall, outcome: AttemptOutcome): void {
     const { quarantine } = this.#options;
     if (isTrial) {
       quarantine.endTrial(fingerprint);
@@ -221,27 +222,24 @@
     }
   }
 
-  #now(): Pick<CallEnd, "nowMs" | "eventLoopIdleMs"> {
+  #times(): Pick<CallEnd, "nowMs" | "eventLoopIdleMs"> {
     return { nowMs: this.#options.nowMs(), eventLoopIdleMs: this.#options.eventLoopIdleMs() };
   }
 
   #incarnationOf(leafId: string): LeafIncarnation {
-    const held = this.#incarnations.get(leafId);
-    if (held !== undefined) {
-      return held;
+    const known = this.#incarnations.get(leafId);
+    if (known !== undefined) {
+      return known;
     }
-    const incarnation: LeafIncarnation = { health: INITIAL_LEAF_HEALTH, line: undefined };
+    const incarnation: LeafIncarnation = { health: INITIAL_LEAF_HEALTH, pool: undefined };
     this.#incarnations.set(leafId, incarnation);
     return incarnation;
   }
 
-  #openLine({ service, address, port, slots }: Leaf): LeafConnectionPool {
-    const { maxConnectionsTo: connectionsTo, nowMs } = this.#options;
-    const mostConnections = (): number => connectionsTo(service);
-    return new LeafConnectionPool(
-      { address, port },
-      { slots, nowMs, maxConnections: mostConnections },
-    );
+  #openPool({ service, address, port, slots }: Leaf): LeafConnectionPool {
+    const { maxConnectionsTo, nowMs } = this.#options;
+    const maxConnections = (): number => maxConnectionsTo(service);
+    return new LeafConnectionPool({ address, port }, { slots, nowMs, maxConnections });
   }
 }
 
@@ -252,8 +250,8 @@
 } = {
   answered: ({ answer }) => (answer.statusCode < 500 ? "answered" : "failed"),
   refused: ({ reason }) => reason,
-  failed: ({ blockReason: barrier, reason }) => {
-    return reason === ABANDONED || barrier !== undefined ? "abandoned" : "failed";
+  failed: ({ blockReason, reason }) => {
+    return reason === ABANDONED || blockReason !== undefined ? "abandoned" : "failed";
   },
 };
 
--- a/calls/leaf_calls_test.ts
+++ b/calls/leaf_calls_test.ts
@@ -12,7 +12,7 @@
   setLeafs,
 } from "./_leaf_call_harness.js";
 
-t.test("send() gives the leaf's whole answer and keeps the connection", async (t) => {
+t.test("send() returns the leaf's complete answer and keeps the connection open", async (t) => {
   let connections = 0;
   const server = createServer((request, response) => {
     response.setHeader(LEAF_HEADERS.requestId, String(request.headers[LEAF_HEADERS.requestId]));
@@ -35,10 +35,10 @@
   setLeafs(calls, []);
 });
 
-t.test("a call that waits for a connection tells the time left when it is sent", async (t) => {
-  const told: Array<number> = [];
+t.test("a call that waits for a connection reports the time left when it is sent", async (t) => {
+  const reportedMs: Array<number> = [];
   const server = createServer((request, response) => {
-    told.push(Number(request.headers[LEAF_HEADERS.leftMs]));
+    reportedMs.push(Number(request.headers[LEAF_HEADERS.leftMs]));
     response.setHeader(LEAF_HEADERS.requestId, String(request.headers[LEAF_HEADERS.requestId]));
     setTimeout(() => response.end(), 200);
   });
@@ -51,12 +51,12 @@
     sendCall(calls, port, { leftMs: 1_000 }),
     sendCall(calls, port, { requestId: "r2", leftMs: 1_000 }),
   ]);
-  t.ok((told[0] ?? 0) > 900, `first told ${told[0]}`);
-  t.ok((told[1] ?? 0) <= 800, `second told ${told[1]}`);
+  t.ok((reportedMs[0] ?? 0) > 900, `first reported ${reportedMs[0]}`);
+  t.ok((reportedMs[1] ?? 0) <= 800, `second reported ${reportedMs[1]}`);
   setLeafs(calls, []);
 });
 
-/** A server that answers each request with fixed bytes. */
+/** Starts a server that answers each request with the given bytes. */
 async function bytesServer(answer: (requestText: string) => string) {
   const server = createTcpServer((socket) => {
     socket.on("error", () => undefined);
@@ -77,7 +77,7 @@
   return `${answerHead(requestId)}Content-Length: ${body.length}\r\n\r\n${body}`;
 }
 
-t.test("an answer to another request is never taken", async (t) => {
+t.test("an answer to another request is rejected", async (t) => {
   const server = await bytesServer(() => answerText("other", "wrong"));
   t.teardown(() => server.close());
   const calls = makeLeafCalls();
@@ -86,7 +86,7 @@
   setLeafs(calls, []);
 });
 
-t.test("a connection with bytes that no call is owed carries no further call", async (t) => {
+t.test("a connection with unexpected bytes is not reused", async (t) => {
   let answers = 0;
   const server = await bytesServer((text) => {
     answers += 1;
@@ -102,7 +102,7 @@
   setLeafs(calls, []);
 });
 
-t.test("a leaf that takes no connection fails a call as not sent", async (t) => {
+t.test("a call to a leaf that refuses connections fails as not sent", async (t) => {
   const server = await bytesServer(() => "");
   const port = portOf(server);
   await new Promise<void>((resolve) => server.close(() => resolve()));
@@ -112,25 +112,28 @@
 const CONNECTION_ENDS: Readonly<Record<string, (socket: Socket, sent: string) => void>> = {
   end: (socket, sent) => socket.write(sent, () => setTimeout(() => socket.end(), 20)),
   reset: (socket, sent) => socket.write(sent, () => setTimeout(() => socket.resetAndDestroy(), 20)),
-  // Bytes and reset are seen together then, which libuv reports as a plain end.
-  "reset at once": (socket, sent) => socket.write(sent, () => socket.resetAndDestroy()),
+  // Libuv reports a plain end if it reads the bytes and the reset together.
+  "immediate reset": (socket, sent) => socket.write(sent, () => socket.resetAndDestroy()),
 };
 
-t.test("an answer without a length counts when it ends, not when it is reset", async (t) => {
-  const head = `${answerHead("r1")}\r\nhalf`;
-  for (const [end, finish] of Object.entries(CONNECTION_ENDS)) {
-    const server = createTcpServer((socket) => {
-      socket.on("error", () => undefined);
-      socket.on("data", () => finish(socket, head));
-    });
-    await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
-    t.teardown(() => server.close());
-    const outcome = await sendCall(makeLeafCalls(), portOf(server));
-    t.equal(outcome.kind, end === "end" ? "answered" : "failed", end);
-  }
-});
+t.test(
+  "an answer without a length is complete if its connection ends, not if it is reset",
+  async (t) => {
+    const head = `${answerHead("r1")}\r\nhalf`;
+    for (const [ending, closeSocket] of Object.entries(CONNECTION_ENDS)) {
+      const server = createTcpServer((socket) => {
+        socket.on("error", () => undefined);
+        socket.on("data", () => closeSocket(socket, head));
+      });
+      await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
+      t.teardown(() => server.close());
+      const outcome = await sendCall(makeLeafCalls(), portOf(server));
+      t.equal(outcome.kind, ending === "end" ? "answered" : "failed", ending);
+    }
+  },
+);
 
-t.test("a call that must not run twice is not sent on a connection that has rested", async (t) => {
+t.test("a non-repeatable call is not sent on a connection that has been idle", async (t) => {
   let connections = 0;
   const server = createServer((request, response) => {
     response.setHeader(LEAF_HEADERS.requestId, String(request.headers[LEAF_HEADERS.requestId]));
@@ -148,73 +151,65 @@
   t.match(await sendCall(calls, portOf(server), { repeatable: false }), { kind: "answered" });
   await new Promise((resolve) => setTimeout(resolve, 300));
   t.match(await sendCall(calls, portOf(server), { repeatable: true }), { kind: "answered" });
-  t.equal(connections, 1, "one that may be sent again takes the connection that is there");
+  t.equal(connections, 1, "a repeatable call reuses the connection");
   await new Promise((resolve) => setTimeout(resolve, 300));
   t.match(await sendCall(calls, portOf(server), { repeatable: false }), { kind: "answered" });
-  t.equal(connections, 2, "the other one takes a new connection, within the share");
+  t.equal(connections, 2, "a non-repeatable call opens a new connection, within the limit");
 });
 
-t.test(
-  "a call of a query under which leafs were lost is not sent, unless it is the only one",
-  async (t) => {
-    const quarantine = makeQuarantine();
-    const calls = makeLeafCalls(2, quarantine);
-    const taken: Array<string> = [];
-    const server = createServer((request, response) => {
-      taken.push(String(request.headers["x-request-id"]));
-      request.socket.destroy();
-      response.destroy();
-    });
-    await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
-    t.teardown(() => server.close());
-    const send = (requestId: string, isTrial: boolean) => {
-      const query = { ...leafCall(portOf(server), { requestId }), fingerprint: "q", isTrial };
-      return new Promise((resolve) => calls.send(query, resolve));
-    };
-    t.match(await send("first", false), { kind: "failed", sent: true, connectionClosed: true });
-    t.match(await send("second", false), {
-      kind: "failed",
-      sent: false,
-      blockReason: { kind: "quarantined" },
-    });
-    t.match(await send("trial-1", true), { connectionClosed: true });
-    t.match(await send("trial-2", true), { connectionClosed: true });
-    t.equal(quarantine.permission("q"), "blocked");
-    t.same(taken, ["first", "trial-1", "trial-2"]);
-  },
-);
+t.test("a call of a query that crashed leafs is not sent unless it is a probe", async (t) => {
+  const quarantine = makeQuarantine();
+  const calls = makeLeafCalls(2, quarantine);
+  const received: Array<string> = [];
+  const server = createServer((request, response) => {
+    received.push(String(request.headers["x-request-id"]));
+    request.socket.destroy();
+    response.destroy();
+  });
+  await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
+  t.teardown(() => server.close());
+  const send = (requestId: string, isTrial: boolean) => {
+    const query = { ...leafCall(portOf(server), { requestId }), fingerprint: "q", isTrial };
+    return new Promise((resolve) => calls.send(query, resolve));
+  };
+  t.match(await send("first", false), { kind: "failed", sent: true, connectionClosed: true });
+  t.match(await send("second", false), {
+    kind: "failed",
+    sent: false,
+    blockReason: { kind: "quarantined" },
+  });
+  t.match(await send("trial-1", true), { connectionClosed: true });
+  t.match(await send("trial-2", true), { connectionClosed: true });
+  t.equal(quarantine.permission("q"), "blocked");
+  t.same(received, ["first", "trial-1", "trial-2"]);
+});
 
-t.test(
-  "calls that wait for a connection are taken back when a leaf is lost under their query",
-  async (t) => {
-    const quarantine = makeQuarantine();
-    const calls = makeLeafCalls(1, quarantine);
-    const server = createServer(() => undefined);
-    await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
-    t.teardown(() => {
-      server.closeAllConnections();
-      server.close();
-    });
-    const send = (requestId: string, fingerprint: string) => {
-      const query = { ...leafCall(portOf(server), { requestId }), fingerprint };
-      return new Promise((resolve) => calls.send(query, resolve));
-    };
-    const running = send("running", "q");
-    const waiting = send("waiting", "q");
-    await new Promise((resolve) => setTimeout(resolve, 50));
-    quarantine.recordCrash({ fingerprint: "q", isTrial: false });
-    calls.withdrawBlocked("q");
-    t.match(await waiting, { kind: "failed", sent: false });
+t.test("pending calls are withdrawn when their query crashes a leaf", async (t) => {
+  const quarantine = makeQuarantine();
+  const calls = makeLeafCalls(1, quarantine);
+  const server = createServer(() => undefined);
+  await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
+  t.teardown(() => {
     server.closeAllConnections();
-    t.match(await running, { sent: true });
-    setLeafs(calls, []);
-  },
-);
+    server.close();
+  });
+  const send = (requestId: string, fingerprint: string) => {
+    const query = { ...leafCall(portOf(server), { requestId }), fingerprint };
+    return new Promise((resolve) => calls.send(query, resolve));
+  };
+  const running = send("running", "q");
+  const pending = send("waiting", "q");
+  await new Promise((resolve) => setTimeout(resolve, 50));
+  quarantine.recordCrash({ fingerprint: "q", isTrial: false });
+  calls.withdrawBlocked("q");
+  t.match(await pending, { kind: "failed", sent: false });
+  server.closeAllConnections();
+  t.match(await running, { sent: true });
+  setLeafs(calls, []);
+});
 
-// A leaf's answer was read to its end whatever its length, and held until the request was answered. One query
-// whose answer does not end would take all memory of the box that asked, its caller would turn to the next
-// box, and so on: the process went from 73 to 1,021 MB within two seconds of such an answer.
-t.test("an answer that does not end is given up, and its connection with it", async (t) => {
+// Guards against unbounded memory use: an endless answer used to be buffered without a limit.
+t.test("an endless answer is aborted and its connection closed", async (t) => {
   const piece = Buffer.alloc(1_048_576);
   let sentBytes = 0;
   let isClosed = false;
@@ -241,7 +236,7 @@
   const calls = makeLeafCalls();
   const outcome = await sendCall(calls, portOf(server), { leftMs: 2_000 });
   t.match(outcome, { kind: "failed", sent: true, reason: "answer is too long" });
-  t.ok(sentBytes < 64 * piece.length, `the leaf got rid of ${sentBytes} bytes`);
+  t.ok(sentBytes < 64 * piece.length, `the leaf sent ${sentBytes} bytes`);
   await new Promise((resolve) => setTimeout(resolve, 100));
   t.ok(isClosed, "the connection is closed");
 });
--- a/calls/leaf_connection.ts
+++ b/calls/leaf_connection.ts
@@ -1,6 +1,6 @@
 /**
- * One connection to a leaf, opened before anything is sent on it, so that what is sent goes out at
- * once and with the time that is really left.
+ * One connection to a leaf. It is opened before a call is assigned to it, so that the call goes out
+ * immediately, with the correct time left.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 import { nowMs } from "../clock/mod.js";
 import type { SocketAddress } from "../platform/mod.js";
 
-/** Time that a new connection has to come up, in milliseconds. */
-const CONNECT_MS = 1_000;
+/** Connect timeout, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 1_000;
 
 /**
- * Time that a connection rests before it is closed, in milliseconds, where the leaf does not say
- * how long it keeps one.
+ * Default time after which an idle connection is closed, in milliseconds, for leafs that do not
+ * announce a keep-alive timeout.
  */
-const REST_MS = 4_000;
+const IDLE_TIMEOUT_MS = 4_000;
 
-const CONNECTOR = buildConnector({ timeout: CONNECT_MS, keepAlive: true });
+const CONNECTOR = buildConnector({ timeout: CONNECT_TIMEOUT_MS, keepAlive: true });
 
 type Socket = Parameters<Parameters<typeof CONNECTOR>[1]>[1];
 
-/** Told what becomes of a connection. */
+/** Receives the state changes of a connection. */
 export interface LeafConnectionListener {
-  /** Told once when the connection is up. */
+  /** Called once when the connection is established. */
   onOpen(connection: LeafConnection): void;
-  /** Told once when it did not come up or has ended. */
+  /** Called once when the connection could not be established or has been closed. */
   onClose(connection: LeafConnection): void;
 }
 
@@ -36,17 +36,17 @@
   #socket: Socket = null;
   #busy = false;
   #closed = false;
-  #restsSinceMs = nowMs();
-  /** When the call on it was sent, until its answer begins. */
-  #silentSinceMs: number | undefined;
-  #heardAtMs = nowMs();
-  #broken = false;
+  #idleSinceMs = nowMs();
+  /** When the current call was sent; `undefined` once its answer begins. */
+  #unansweredSinceMs: number | undefined;
+  #lastContactAtMs = nowMs();
+  #reset = false;
 
   /**
-   * Begins to open a connection.
+   * Starts to open a connection.
    *
    * @param where - Address and port of the leaf.
-   * @param listener - Told what becomes of it.
+   * @param listener - Receives the state changes.
    */
   constructor({ address, port }: SocketAddress, listener: LeafConnectionListener) {
     this.#listener = listener;
@@ -59,40 +59,40 @@
           return;
         }
         this.#socket = socket;
-        this.#restsSinceMs = nowMs();
-        this.#heardAtMs = this.#restsSinceMs;
+        this.#idleSinceMs = nowMs();
+        this.#lastContactAtMs = this.#idleSinceMs;
         this.#client = this.#clientOn(`http://${address}:${port}`, socket);
         listener.onOpen(this);
       },
     );
   }
 
-  /** Whether it is up. */
+  /** Whether the connection is established. */
   get isOpen(): boolean {
     return !this.#closed && this.#socket?.destroyed === false;
   }
 
   /**
-   * Whether it was reset. Undici takes an answer without a length to be whole then, but it may have
-   * lost its end.
+   * Whether the connection was reset. Undici then regards an answer without a length as complete,
+   * although it may be truncated.
    */
   get wasReset(): boolean {
-    return this.#broken;
+    return this.#reset;
   }
 
-  /** Time since its last call ended, or since it came up, in milliseconds. */
+  /** Time since its last call ended or since it was established, in milliseconds. */
   get idleMs(): number {
-    return nowMs() - this.#restsSinceMs;
+    return nowMs() - this.#idleSinceMs;
   }
 
-  /** Moment since which the call on it has no answer; nothing where none is awaited. */
+  /** When the call that awaits an answer was sent; `undefined` if no answer is awaited. */
   get unansweredSinceMs(): number | undefined {
-    return this.#silentSinceMs;
+    return this.#unansweredSinceMs;
   }
 
-  /** Moment at which something last came in on it, its opening included. */
+  /** When an answer last began to arrive, or the connection was established. */
   get lastContactAtMs(): number {
-    return this.#heardAtMs;
+    return this.#lastContactAtMs;
   }
 
   /** Whether a call can be sent on it now. */
@@ -101,62 +101,62 @@
   }
 
   /**
-   * Sends a call; only on a connection that is free.
+   * Sends a call. The connection must be idle.
    *
    * @param options - The call.
    * @param handler - Reads the answer.
    */
   send(options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
     this.#busy = true;
-    this.#silentSinceMs = nowMs();
+    this.#unansweredSinceMs = nowMs();
     this.#client?.dispatch(options, handler);
   }
 
-  /** Says that an answer has begun to come in on it. */
-  noteResponse(): void {
-    this.#silentSinceMs = undefined;
-    this.#heardAtMs = nowMs();
+  /** Records that an answer has begun to arrive. */
+  recordResponse(): void {
+    this.#unansweredSinceMs = undefined;
+    this.#lastContactAtMs = nowMs();
   }
 
-  /** Says that the call on it has ended. */
+  /** Records that the current call has ended. */
   release(): void {
     this.#busy = false;
-    this.#silentSinceMs = undefined;
-    this.#restsSinceMs = nowMs();
+    this.#unansweredSinceMs = undefined;
+    this.#idleSinceMs = nowMs();
   }
 
-  /** Closes the connection; a call on it fails. */
+  /** Closes the connection. The current call, if any, fails. */
   close(): void {
     void this.#client?.destroy();
     this.#close();
   }
 
-  /** Undici's client on a socket that is already up; it never opens another one. */
+  /** Creates an undici client on an established socket. It never opens another one. */
   #clientOn(origin: string, socket: NonNullable<Socket>): Client {
-    let given = false;
+    let used = false;
     const client = new Client(origin, {
       pipelining: 1,
-      keepAliveTimeout: REST_MS,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
       connect: (_options, callback) => {
-        if (given || socket.destroyed) {
-          callback(new Error("the connection has ended"), null);
+        if (used || socket.destroyed) {
+          callback(new Error("connection closed"), null);
         } else {
-          given = true;
-          // Not at once: undici ignores a socket that is handed over while it asks for one.
+          used = true;
+          // Deferred: undici ignores a socket that is passed to the callback synchronously.
           queueMicrotask(() => callback(null, socket));
         }
       },
     });
     client.on("disconnect", () => this.close());
     client.on("connectionError", () => this.close());
-    // Both before undici's own listeners, which end the answer under way.
+    // Both are registered before undici's own listeners, which end the current answer.
     socket.on("end", () => {
-      // Libuv reports a plain end where bytes and a reset are seen together; only a connection that
-      // was reset has no peer any more.
-      this.#broken ||= socket.remoteAddress === undefined;
+      // Libuv reports a plain end if it reads bytes and a reset together; only a reset connection
+      // has no peer any more.
+      this.#reset ||= socket.remoteAddress === undefined;
     });
     socket.on("error", () => {
-      this.#broken = true;
+      this.#reset = true;
       this.close();
     });
     socket.once("close", () => this.close());
--- a/calls/leaf_connection_pool.ts
+++ b/calls/leaf_connection_pool.ts
@@ -1,5 +1,5 @@
 /**
- * The calls to one leaf: those that wait for a connection, and the connections.
+ * The calls to one leaf: a queue of pending calls, and a pool of connections.
  *
  * @module
  */
@@ -8,173 +8,174 @@
 import { LeafConnection } from "./leaf_connection.js";
 
 /**
- * Time after a connection was turned away in which no other is opened beside those that are up, in
- * milliseconds; well below the time in which a leaf lets old connections go.
+ * Time after a refused connection in which no further one is opened while others are established,
+ * in milliseconds. Must be well below the time after which a leaf closes old connections.
  */
-const REFUSED_MS = 150;
+const REFUSED_BACKOFF_MS = 150;
 
 /**
- * Longest time that a connection may have rested to carry a call that must not be sent twice, in
- * milliseconds: a leaf may have forgotten it, and then it cannot be told whether the call has run. A
- * new connection costs about a millisecond at such services.
+ * Maximum idle time of a connection for a call that must not run twice, in milliseconds. The leaf
+ * may have dropped an older connection, and then it is unknown whether the call has run.
  */
-const MOST_RESTED_MS = 200;
+const MAX_IDLE_MS = 200;
 
 /**
- * Time without an answer after which a connection may have gone silent for good, in milliseconds, and
- * with it the others to the same leaf. Above what leafs pause, 150 to 250 ms, with a queue on top.
+ * Time without an answer after which a connection, and others to the same leaf, may be dead, in
+ * milliseconds. Must be above the pauses of healthy leafs.
  */
-const SILENT_MS = 500;
+const UNRESPONSIVE_MS = 500;
 
 /**
- * Longest time that a call waits for a connection while nothing is heard of the leaf, in milliseconds;
- * it has not been sent, so that another leaf can be asked at no cost. Above what leafs pause.
+ * Maximum time for which a call waits for a connection while nothing is received from the leaf, in
+ * milliseconds. The call has not been sent, so another leaf can be called at no cost.
  */
-const MOST_WAIT_MS = 300;
+const MAX_WAIT_MS = 300;
 
-/** What a line needs of its box. */
+/** Dependencies of a connection pool. */
 export interface LeafConnectionPoolOptions {
-  /** Requests that the leaf runs at the same time. */
+  /** Number of requests that the leaf runs concurrently. */
   readonly slots: number;
   readonly nowMs: () => number;
-  /** Tells how many connections this box may have to the leaf. */
+  /** Returns the maximum number of connections from this box to the leaf. */
   readonly maxConnections: () => number;
 }
 
-/** Calls and connections of one leaf. */
+/** Pending calls and connections of one leaf. */
 export class LeafConnectionPool {
-  readonly #where: SocketAddress;
-  readonly #mostConnections: () => number;
+  readonly #address: SocketAddress;
+  readonly #maxConnections: () => number;
   readonly #connections = new Set<LeafConnection>();
-  #waiting: Array<PendingCall> = [];
+  #pending: Array<PendingCall> = [];
   readonly #slots: number;
   readonly #nowMs: () => number;
   #opening = 0;
-  /** When a connection last came up or an answer last came in. */
-  #heardAtMs = 0;
+  /** When a connection was last established or an answer last began to arrive. */
+  #lastContactAtMs = 0;
   #waitTimer: NodeJS.Timeout | undefined;
-  #openAfterMs = 0;
+  #nextOpenAtMs = 0;
   #closing = false;
 
   /**
-   * @param where - Address and port of the leaf.
-   * @param options - What the line needs of its box.
+   * @param address - Address and port of the leaf.
+   * @param options - Dependencies of the pool.
    */
-  constructor(
-    where: SocketAddress,
-    { slots, maxConnections: mostConnections, nowMs }: LeafConnectionPoolOptions,
-  ) {
-    this.#where = where;
+  constructor(address: SocketAddress, { slots, maxConnections, nowMs }: LeafConnectionPoolOptions) {
+    this.#address = address;
     this.#slots = slots;
-    this.#mostConnections = mostConnections;
+    this.#maxConnections = maxConnections;
     this.#nowMs = nowMs;
   }
 
   /**
-   * Sends a call on a free connection, or as soon as there is one.
+   * Sends a call on an idle connection, or as soon as there is one.
    *
    * @param call - The call.
    */
   send(call: PendingCall): void {
-    this.#waiting.push(call);
-    this.#serve();
+    this.#pending.push(call);
+    this.#sendPending();
     this.#limitWait();
   }
 
-  /** Says that an answer has begun to come in. */
-  noteResponse(): void {
-    this.#heardAtMs = this.#nowMs();
+  /** Records that an answer has begun to arrive. */
+  recordResponse(): void {
+    this.#lastContactAtMs = this.#nowMs();
   }
 
   /**
-   * Says that a call has ended, so that its connection can carry the next.
+   * Records that a call has ended, so that its connection can carry the next.
    *
    * @param connection - The connection that carried it.
    */
   release(connection: LeafConnection): void {
     connection.release();
-    this.#serve();
+    this.#sendPending();
   }
 
   /**
-   * Closes the connections as soon as their calls have ended; no more calls are taken.
+   * Closes the connections as soon as their calls have ended. No more calls may be sent.
    *
-   * @param options - Whether calls that wait are given up: they were not sent, and a leaf that has started
-   *   again no longer listens where they would go.
+   * @param options - Whether pending calls fail. They were not sent, and a restarted leaf no longer
+   *   listens at this address.
    */
-  close({ givesUpWaiting }: { readonly givesUpWaiting: boolean }): void {
+  close({ failPending }: { readonly failPending: boolean }): void {
     this.#closing = true;
-    if (givesUpWaiting) {
-      this.#giveUp(new Set(this.#waiting));
+    if (failPending) {
+      this.#failCalls(new Set(this.#pending));
     }
-    this.#closeFree();
+    this.#closeIdle();
   }
 
-  /** Looks after a while whether what waits now still does and the leaf was not heard of since. */
+  /**
+   * Starts a timer after which pending calls fail if nothing has been received from the leaf
+   * meanwhile.
+   */
   #limitWait(): void {
-    if (this.#waiting.length === 0 || this.#waitTimer !== undefined) {
+    if (this.#pending.length === 0 || this.#waitTimer !== undefined) {
       return;
     }
     const sinceMs = this.#nowMs();
-    const waiting = this.#waiting;
+    const pending = this.#pending;
     this.#waitTimer = setTimeout(() => {
-      // What has come in meanwhile is read first: this process may have had no time itself.
+      // Reads what has already arrived first, as this process may have been stalled.
       setImmediate(() => {
         this.#waitTimer = undefined;
-        if (this.#heardAtMs < sinceMs) {
-          this.#giveUp(new Set(waiting));
+        if (this.#lastContactAtMs < sinceMs) {
+          this.#failCalls(new Set(pending));
         }
         this.#limitWait();
       });
-    }, MOST_WAIT_MS);
+    }, MAX_WAIT_MS);
   }
 
-  #giveUp(calls: ReadonlySet<PendingCall>): void {
-    const givenUp = this.#waiting.filter((call) => calls.has(call));
-    this.#waiting = this.#waiting.filter((call) => !calls.has(call));
-    for (const call of givenUp) {
+  #failCalls(calls: ReadonlySet<PendingCall>): void {
+    const failing = this.#pending.filter((call) => calls.has(call));
+    this.#pending = this.#pending.filter((call) => !calls.has(call));
+    for (const call of failing) {
       call.onNoConnection();
     }
   }
 
-  #serve(): void {
-    this.#waiting = this.#waiting.filter((call) => !call.isEnded);
+  #sendPending(): void {
+    this.#pending = this.#pending.filter((call) => !call.isEnded);
     for (const connection of this.#connections) {
-      if (this.#waiting.length === 0) {
+      if (this.#pending.length === 0) {
         break;
       }
-      this.#serveOn(connection);
+      this.#sendNextOn(connection);
     }
     this.#openMore();
     if (this.#closing) {
-      this.#closeFree();
+      this.#closeIdle();
     }
   }
 
-  #serveOn(connection: LeafConnection): void {
-    const [call, ...others] = this.#waiting;
+  #sendNextOn(connection: LeafConnection): void {
+    const [call, ...others] = this.#pending;
     if (call === undefined || !connection.isIdle) {
       return;
     }
-    const isTooOld = !call.isRepeatable && connection.idleMs > MOST_RESTED_MS;
-    if (isTooOld || this.#mayBeSilent(connection)) {
+    const isStale = !call.isRepeatable && connection.idleMs > MAX_IDLE_MS;
+    if (isStale || this.#mayBeDead(connection)) {
       connection.close();
       return;
     }
-    this.#waiting = others;
+    this.#pending = others;
     if (call.admit()) {
       this.#sendOn(connection, call);
     } else {
-      this.#serveOn(connection);
+      this.#sendNextOn(connection);
     }
   }
 
-  /** Whether another connection has got no answer for long, and this one was not heard since either. */
-  #mayBeSilent({ lastContactAtMs: heardAtMs }: LeafConnection): boolean {
-    const longAgoMs = this.#nowMs() - SILENT_MS;
-    for (const { unansweredSinceMs: silentSinceMs = Number.POSITIVE_INFINITY } of this
-      .#connections) {
-      if (silentSinceMs < longAgoMs && heardAtMs < silentSinceMs) {
+  /**
+   * Whether another connection has been unanswered for long and nothing has arrived on this one
+   * since.
+   */
+  #mayBeDead({ lastContactAtMs }: LeafConnection): boolean {
+    const thresholdMs = this.#nowMs() - UNRESPONSIVE_MS;
+    for (const { unansweredSinceMs = Number.POSITIVE_INFINITY } of this.#connections) {
+      if (unansweredSinceMs < thresholdMs && lastContactAtMs < unansweredSinceMs) {
         return true;
       }
     }
@@ -186,16 +187,16 @@
   }
 
   /**
-   * Opens connections where calls wait, no more at a time than the leaf has slots, as each may hold
-   * one for a moment. A leaf that has just turned one away is left alone for a while as long as
-   * another is up.
+   * Opens connections for pending calls. At most as many are opened concurrently as the leaf has
+   * slots, as each may occupy one briefly. After a refused connection, none is opened for a while
+   * if others are established.
    */
   #openMore(): void {
-    if (this.#hasOpen() && this.#nowMs() < this.#openAfterMs) {
+    if (this.#hasOpen() && this.#nowMs() < this.#nextOpenAtMs) {
       return;
     }
-    const wanted = Math.min(this.#slots, this.#waiting.length);
-    while (this.#opening < wanted && this.#connections.size < this.#mostConnections()) {
+    const wanted = Math.min(this.#slots, this.#pending.length);
+    while (this.#opening < wanted && this.#connections.size < this.#maxConnections()) {
       this.#open();
     }
   }
@@ -212,40 +213,43 @@
   #open(): void {
     let isOpen = false;
     this.#opening += 1;
-    const opened = (): void => {
+    const settle = (): void => {
       if (!isOpen) {
         isOpen = true;
         this.#opening -= 1;
       }
     };
-    const connection = new LeafConnection(this.#where, {
+    const connection = new LeafConnection(this.#address, {
       onOpen: () => {
-        opened();
-        this.noteResponse();
-        this.#serve();
+        settle();
+        this.recordResponse();
+        this.#sendPending();
       },
       onClose: (closed) => {
         this.#connections.delete(closed);
         if (!isOpen) {
-          opened();
-          this.#openAfterMs = this.#nowMs() + REFUSED_MS;
-          this.#failWaiting();
+          settle();
+          this.#nextOpenAtMs = this.#nowMs() + REFUSED_BACKOFF_MS;
+          this.#failIfUnreachable();
         }
-        this.#serve();
+        this.#sendPending();
       },
     });
     this.#connections.add(connection);
   }
 
-  /** Where no connection comes up and none is there, waiting on would only cost the callers time. */
-  #failWaiting(): void {
+  /**
+   * Fails the pending calls if no connection is established, since waiting longer would only delay
+   * their callers.
+   */
+  #failIfUnreachable(): void {
     if (this.#hasOpen()) {
       return;
     }
-    this.#giveUp(new Set(this.#waiting));
+    this.#failCalls(new Set(this.#pending));
   }
 
-  #closeFree(): void {
+  #closeIdle(): void {
     for (const connection of this.#connections) {
       if (connection.isIdle) {
         connection.close();
--- a/calls/mod.ts
+++ b/calls/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to leafs over kept connections, and what is seen of each leaf.
+ * Calls to leafs over persistent connections, and the observed health of each leaf.
  *
  * @module
  */
