--- a/leaf_access/block_reason.ts
+++ b/leaf_access/block_reason.ts
@@ -1,37 +1,42 @@
 /**
- * Why a call may not go to a leaf at this moment.
+ * Why a call may not be sent to a leaf.
  *
  * @module
  */
 
-/** Why a call may not go to a leaf. */
+/** Why a call may not be sent to a leaf. */
 export type BlockReason =
-  /** The route is served in other regions only. */
-  | { readonly kind: "home"; readonly region: string; readonly homes: ReadonlyArray<string> }
-  /** Operators have the leaf's data centre emptied. */
+  /** The route is restricted to other regions. */
+  | {
+      readonly kind: "region";
+      readonly region: string;
+      readonly allowedRegions: ReadonlyArray<string>;
+    }
+  /** The leaf's data centre is evacuated. */
   | { readonly kind: "evacuated"; readonly dataCentre: string }
-  /** The leaf is cold, and this box's part of what it bears within a second is spent. */
+  /** The leaf is cold, and this box has used its quota of calls for the current second. */
   | { readonly kind: "cold"; readonly leafId: string }
-  /** Leafs were lost under the query. */
+  /** The query has crashed leafs. */
   | { readonly kind: "quarantined"; readonly fingerprint: string };
 
-const SENTENCES: {
+const DESCRIPTIONS: {
   readonly [K in BlockReason["kind"]]: (
-    barrier: Extract<BlockReason, { readonly kind: K }>,
+    reason: Extract<BlockReason, { readonly kind: K }>,
   ) => string;
 } = {
-  home: ({ region, homes }) => `not served in ${region}, only in ${homes.join(" and ")}`,
+  region: ({ region, allowedRegions }) =>
+    `not served in ${region}, only in ${allowedRegions.join(" and ")}`,
   evacuated: ({ dataCentre }) => `${dataCentre} is evacuated`,
-  cold: ({ leafId }) => `${leafId} is cold and has had its calls of this second`,
-  quarantined: () => "leafs were lost under it",
+  cold: ({ leafId }) => `${leafId} is cold and its quota for this second is used up`,
+  quarantined: () => "query is quarantined",
 };
 
 /**
- * Tells in words why a call does not go to a leaf, for logs and operators.
+ * Describes a block reason, for logs and operators.
  *
- * @param barrier - Why.
- * @returns A few words.
+ * @param reason - The reason.
+ * @returns A short phrase.
  */
-export function describeBlockReason(barrier: BlockReason): string {
-  return (SENTENCES[barrier.kind] as (barrier: BlockReason) => string)(barrier);
+export function describeBlockReason(reason: BlockReason): string {
+  return (DESCRIPTIONS[reason.kind] as (reason: BlockReason) => string)(reason);
 }
--- a/leaf_access/cold_leafs.ts
+++ b/leaf_access/cold_leafs.ts
@@ -1,60 +1,63 @@
 /**
- * Knows which leafs are cold, and bounds the calls of this box to each of them.
+ * Tracks which leafs are cold, and limits the calls of this box to each of them.
  *
  * @module
  */
 import type { Leaf } from "../leafs/mod.js";
 import { coldCallQuota } from "./cold_call_quota.js";
 
-/** What services say of their cold leafs. */
+/** Warm-up settings of a service's leafs. */
 export interface WarmupTerms {
-  /** Time for which a leaf stays cold after a start, in milliseconds. */
+  /** Time for which a leaf stays cold after its start, in milliseconds. */
   readonly warmupMs: number;
-  /** Calls a second that a cold leaf bears; 0 where nothing is said. */
+  /** Calls a second that a cold leaf can bear; 0 for no limit. */
   readonly warmupPerS: number;
 }
 
-/** What the cold leafs are reckoned from. */
+/** Dependencies of the cold-leaf tracking. */
 export interface ColdLeafsOptions {
   readonly nowMs: () => number;
   /** Name of this box. */
   readonly box: string;
-  /** Tells what a service says of its cold leafs. */
+  /** Returns the warm-up settings of a service. */
   readonly warmupTermsOf: (service: string) => WarmupTerms | undefined;
-  /** What may be exceeded: the factor on calls a second, and the calls besides. */
+  /**
+   * By how much the limit may be exceeded: a factor on the calls a second, and a number of calls on
+   * top.
+   */
   readonly tolerance: { readonly factor: number; readonly slackCalls: number };
-  /** Lists the boxes that may call leafs of a data centre while these are cold; empty while none is known. */
+  /** Lists the boxes that may call the cold leafs of a data centre; empty while none is known. */
   readonly callingBoxesOf: (dataCentre: string) => ReadonlyArray<string>;
 }
 
 /**
- * Time within which calls are counted together, in milliseconds: the second that leafs are judged by, and some for
- * timers and clocks that run at slightly different paces.
+ * Window over which calls are counted, in milliseconds: one second, and a margin for timers and
+ * clock drift.
  */
 const WINDOW_MS = 1_050;
 
 interface ColdLeaf {
-  /** Which entry told it: a later one that tells it again starts anew. */
+  /** Revision of the leaf's entry. A later revision with a warm-up time starts a new one. */
   readonly entryRevision: number;
   readonly untilMs: number;
 }
 
-/** The cold leafs as one box knows them. */
+/** The cold leafs as seen by this box. */
 export class ColdLeafs {
   readonly #options: ColdLeafsOptions;
   readonly #cold = new Map<string, ColdLeaf>();
-  /** When calls of the last second were sent, by leaf. */
+  /** When calls were sent within the window, by leaf. */
   readonly #sentAtMs = new Map<string, ReadonlyArray<number>>();
 
   /**
-   * @param options - What the cold leafs are reckoned from.
+   * @param options - Dependencies of the tracking.
    */
   constructor(options: ColdLeafsOptions) {
     this.#options = options;
   }
 
   /**
-   * Takes in which leafs there are now.
+   * Replaces the known leafs.
    *
    * @param leafs - The leafs, by id.
    */
@@ -68,7 +71,7 @@
     }
     for (const { leafId, entryRevision, warmingForMs } of leafs.values()) {
       if (warmingForMs === 0 && this.#cold.get(leafId)?.entryRevision !== entryRevision) {
-        this.#forgetWarm(leafId, nowMs);
+        this.#removeWarm(leafId, nowMs);
       } else if (warmingForMs > 0 && this.#cold.get(leafId)?.entryRevision !== entryRevision) {
         this.#cold.set(leafId, { entryRevision, untilMs: nowMs + warmingForMs });
       }
@@ -76,8 +79,8 @@
   }
 
   /**
-   * Takes leafs for cold that have had no work for long, before their own entries say so: those of a data centre
-   * that is used again.
+   * Marks leafs as cold before their own entries do, because they have been idle: those of a data
+   * centre that is in use again.
    *
    * @param leafs - The leafs.
    */
@@ -92,42 +95,42 @@
   }
 
   /**
-   * Tells whether a leaf is cold.
+   * Returns whether a leaf is cold.
    *
    * @param leafId - The leaf.
-   * @returns Whether it is.
+   * @returns Whether it is cold.
    */
   isCold(leafId: string): boolean {
     const cold = this.#cold.get(leafId);
     if (cold === undefined) {
-      // Asked for each leaf of each query, where reading the clock would be most of the work.
+      // Called for each leaf of each query: avoids reading the clock for warm leafs.
       return false;
     }
     return cold.untilMs > this.#options.nowMs();
   }
 
   /**
-   * Tells whether this box may send a leaf a call now.
+   * Returns whether this box may call a leaf now.
    *
    * @param leaf - The leaf.
-   * @returns Whether it may; always where the leaf is not cold or its service sets no limit.
+   * @returns Whether it may; always true if the leaf is not cold or its service sets no limit.
    */
   mayCall(leaf: Leaf): boolean {
     if (!this.isCold(leaf.leafId)) {
       return true;
     }
-    const { box, callingBoxesOf: callersOf, warmupTermsOf: termsOf, tolerance } = this.#options;
-    const warmupPerS = termsOf(leaf.service)?.warmupPerS ?? 0;
+    const { box, callingBoxesOf, warmupTermsOf, tolerance } = this.#options;
+    const warmupPerS = warmupTermsOf(leaf.service)?.warmupPerS ?? 0;
     if (warmupPerS <= 0) {
       return true;
     }
-    const mostCalls = warmupPerS * tolerance.factor + tolerance.slackCalls;
+    const maxCalls = warmupPerS * tolerance.factor + tolerance.slackCalls;
     const { leafId } = leaf;
-    const share = coldCallQuota(
-      { leafId, maxCalls: mostCalls, callingBoxes: callersOf(leaf.dataCentre) },
+    const quota = coldCallQuota(
+      { leafId, maxCalls, callingBoxes: callingBoxesOf(leaf.dataCentre) },
       box,
     );
-    return this.#recent(leafId).length < share;
+    return this.#recent(leafId).length < quota;
   }
 
   /**
@@ -141,8 +144,11 @@
     }
   }
 
-  /** Forgets a leaf that was cold; not before its time, as an entry may have been written before it turned cold. */
-  #forgetWarm(leafId: string, nowMs: number): void {
+  /**
+   * Stops tracking a leaf that is reported warm, but only after its warm-up time: the entry may
+   * have been written before the leaf became cold.
+   */
+  #removeWarm(leafId: string, nowMs: number): void {
     if ((this.#cold.get(leafId)?.untilMs ?? 0) <= nowMs) {
       this.#cold.delete(leafId);
       this.#sentAtMs.delete(leafId);
--- a/leaf_access/leaf_access.ts
+++ b/leaf_access/leaf_access.ts
@@ -1,10 +1,10 @@
 /**
- * Decides whether a call may go to a leaf: by the homes of its route, evacuated data centres, what cold leafs
- * bear, and the queries under which leafs were lost.
+ * Decides whether a call may be sent to a leaf: by the allowed regions of its route, evacuated data
+ * centres, the limits of cold leafs, and quarantined queries.
  *
- * Each way to a leaf asks twice: when a leaf is chosen, and right before anything is sent, as calls wait for
- * connections and the answer may have changed meanwhile. Boxes that ask for another one do the same by what they
- * know themselves.
+ * Every path to a leaf checks twice: when a leaf is selected, and right before anything is sent, as
+ * calls wait for connections and the decision may have changed meanwhile. Boxes that relay calls
+ * for another box apply the same checks to their own state.
  *
  * @module
  */
@@ -14,75 +14,76 @@
 import type { BlockReason } from "./block_reason.js";
 import type { ColdLeafs } from "./cold_leafs.js";
 
-/** What the decision is made from. */
+/** What the decision depends on. */
 export interface LeafAccessOptions {
-  /** Routes in force, or nothing before the first configuration. */
+  /** The current routes, or `undefined` before the first configuration. */
   readonly routes: () => RouteTable | undefined;
   readonly regionOf: (dataCentre: string) => string;
-  /** Data centres to whose leafs nothing more is to be sent. */
+  /** Data centres whose leafs may not be called. */
   readonly evacuated: () => ReadonlySet<string>;
   readonly coldLeafs: Pick<ColdLeafs, "isCold" | "mayCall" | "noteSent">;
   readonly quarantine: Pick<Quarantine, "permission">;
 }
 
-/** A call that is to go to a leaf. */
+/** A call to be checked. */
 export interface AccessCall {
   readonly leaf: Leaf;
   /** Host and path of its request; the same object for all calls of one request. */
   readonly routeKey: RouteKey;
-  /** The same for all requests that ask for the same thing. */
+  /** Identifies the query: equal for all requests with the same content. */
   readonly fingerprint: string;
-  /** Whether it is the only call of a query under which leafs were lost. */
+  /** Whether it is the only call of a suspected query in flight. */
   readonly isTrial: boolean;
 }
 
-/** The homes of one request's route, as last looked up. */
-interface FoundHomes {
+/** The allowed regions of the last route that was looked up. */
+interface CachedRegions {
   readonly routeKey: RouteKey;
   readonly routes: RouteTable | undefined;
-  readonly homes: ReadonlyArray<string>;
+  readonly allowedRegions: ReadonlyArray<string>;
 }
 
-const ANYWHERE: ReadonlyArray<string> = [];
+const UNRESTRICTED: ReadonlyArray<string> = [];
 
-/** Which calls may go to which leafs, as one box knows it. */
+/** Decides which calls may be sent to which leafs, as seen by this box. */
 export class LeafAccess {
   readonly #options: LeafAccessOptions;
-  /** The calls of a request come one after the other, so that one look-up serves most of them. */
-  #found: FoundHomes | undefined;
+  /** Cache of one entry: the calls of a request usually follow one another. */
+  #cached: CachedRegions | undefined;
 
   /**
-   * @param options - What the decision is made from.
+   * @param options - What the decision depends on.
    */
   constructor(options: LeafAccessOptions) {
     this.#options = options;
   }
 
   /**
-   * Tells what keeps a request from a leaf, whatever the request asks for. To be asked when a leaf is chosen.
+   * Returns why a request may not use a leaf, regardless of its content. Must be checked when a
+   * leaf is selected.
    *
    * @param leaf - The leaf.
    * @param routeKey - Host and path of the request.
-   * @returns What keeps it, or nothing.
+   * @returns The reason, or `undefined` if the leaf may be used.
    */
   blockReasonForLeaf(leaf: Leaf, routeKey: RouteKey): BlockReason | undefined {
-    const { coldLeafs: cold, evacuated, regionOf } = this.#options;
+    const { coldLeafs, evacuated, regionOf } = this.#options;
     const { dataCentre, leafId } = leaf;
     if (evacuated().has(dataCentre)) {
       return { kind: "evacuated", dataCentre };
     }
-    const homes = this.#homesOf(routeKey);
-    if (homes.length > 0 && !homes.includes(regionOf(dataCentre))) {
-      return { kind: "home", region: regionOf(dataCentre), homes };
+    const allowedRegions = this.#allowedRegionsOf(routeKey);
+    if (allowedRegions.length > 0 && !allowedRegions.includes(regionOf(dataCentre))) {
+      return { kind: "region", region: regionOf(dataCentre), allowedRegions };
     }
-    return cold.mayCall(leaf) ? undefined : { kind: "cold", leafId };
+    return coldLeafs.mayCall(leaf) ? undefined : { kind: "cold", leafId };
   }
 
   /**
-   * Tells what keeps a call from being sent. To be asked right before anything is sent.
+   * Returns why a call may not be sent. Must be checked right before anything is sent.
    *
    * @param call - The call.
-   * @returns What keeps it, or nothing.
+   * @returns The reason, or `undefined` if the call may be sent.
    */
   blockReasonForCall({
     fingerprint,
@@ -97,7 +98,7 @@
   }
 
   /**
-   * Notes that a call is being sent, which counts towards what a cold leaf bears.
+   * Records that a call is being sent, which counts towards the limit of a cold leaf.
    *
    * @param leaf - The leaf.
    */
@@ -106,24 +107,24 @@
   }
 
   /**
-   * Tells whether a leaf is cold and so slower than usual.
+   * Returns whether a leaf is cold and therefore slower than usual.
    *
    * @param leafId - The leaf.
-   * @returns Whether it is.
+   * @returns Whether it is cold.
    */
   isCold(leafId: string): boolean {
     return this.#options.coldLeafs.isCold(leafId);
   }
 
-  #homesOf(routeKey: RouteKey): ReadonlyArray<string> {
+  #allowedRegionsOf(routeKey: RouteKey): ReadonlyArray<string> {
     const routes = this.#options.routes();
-    const found = this.#found;
-    if (found?.routeKey === routeKey && found.routes === routes) {
-      return found.homes;
+    const cached = this.#cached;
+    if (cached?.routeKey === routeKey && cached.routes === routes) {
+      return cached.allowedRegions;
     }
     const route = routes === undefined ? undefined : findRoute(routes, routeKey);
-    const homes = route?.homes ?? ANYWHERE;
-    this.#found = { routeKey, routes, homes };
-    return homes;
+    const allowedRegions = route?.homes ?? UNRESTRICTED;
+    this.#cached = { routeKey, routes, allowedRegions };
+    return allowedRegions;
   }
 }
--- a/leaf_access/leaf_access_test.ts
+++ b/leaf_access/leaf_access_test.ts
@@ -18,10 +18,10 @@
 };
 const ROUTE_KEY = { host: "h", path: "/a/x" };
 
-function tableOf(homes: ReadonlyArray<string>, version = 1): RouteTable {
+function tableOf(allowedRegions: ReadonlyArray<string>, version = 1): RouteTable {
   return buildRouteTable({
     version,
-    routes: [{ ...ROUTE, homes }],
+    routes: [{ ...ROUTE, homes: allowedRegions }],
     services: [],
     callerLimits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
   });
@@ -42,26 +42,29 @@
   });
 }
 
-t.test("barrierTo() keeps a request from leafs outside its homes", async (t) => {
+t.test("blockReasonForLeaf() blocks leafs outside the allowed regions", async (t) => {
   const access = accessWith({ routes: () => tableOf(["north"]) });
   t.equal(access.blockReasonForLeaf(leafIn("north 2"), ROUTE_KEY), undefined);
   t.same(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY), {
-    kind: "home",
+    kind: "region",
     region: "south",
-    homes: ["north"],
+    allowedRegions: ["north"],
   });
 });
 
-t.test("barrierTo() goes by the homes of the configuration in force now", async (t) => {
-  let routes = tableOf(["north"]);
-  const access = accessWith({ routes: () => routes });
-  t.equal(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY)?.kind, "home");
-  routes = tableOf(["south"], 2);
-  t.equal(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY), undefined);
-  t.equal(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY)?.kind, "home");
-});
+t.test(
+  "blockReasonForLeaf() applies the allowed regions of the current configuration",
+  async (t) => {
+    let routes = tableOf(["north"]);
+    const access = accessWith({ routes: () => routes });
+    t.equal(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY)?.kind, "region");
+    routes = tableOf(["south"], 2);
+    t.equal(access.blockReasonForLeaf(leafIn("south 1"), ROUTE_KEY), undefined);
+    t.equal(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY)?.kind, "region");
+  },
+);
 
-t.test("barrierTo() keeps every request from an evacuated data centre", async (t) => {
+t.test("blockReasonForLeaf() blocks leafs of an evacuated data centre", async (t) => {
   const evacuated = new Set(["north 1"]);
   const access = accessWith({ evacuated: () => evacuated });
   t.same(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY), {
@@ -73,14 +76,14 @@
   t.equal(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY), undefined);
 });
 
-t.test("barrierBefore() keeps back all of a query but its trial", async (t) => {
+t.test("blockReasonForCall() blocks every call of a quarantined query but its probe", async (t) => {
   const access = accessWith({ quarantine: { permission: () => "deferred" } });
   const call = { leaf: leafIn("north 1"), routeKey: ROUTE_KEY, fingerprint: "q", isTrial: false };
   t.same(access.blockReasonForCall(call), { kind: "quarantined", fingerprint: "q" });
   t.equal(access.blockReasonForCall({ ...call, isTrial: true }), undefined);
 });
 
-t.test("barrierBefore() holds for a trial too where its leaf may not be called", async (t) => {
+t.test("blockReasonForCall() blocks a probe too if its leaf may not be called", async (t) => {
   const access = accessWith({ evacuated: () => new Set(["north 1"]) });
   const call = { leaf: leafIn("north 1"), routeKey: ROUTE_KEY, fingerprint: "q", isTrial: true };
   t.equal(access.blockReasonForCall(call)?.kind, "evacuated");
--- a/leaf_access/mod.ts
+++ b/leaf_access/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a call may go to a leaf at this moment: the one place that every way to a leaf asks.
+ * Decides whether a call may be sent to a leaf. Every path to a leaf checks here.
  *
  * @module
  */
--- a/request/blocked_query_test.ts
+++ b/request/blocked_query_test.ts
@@ -13,7 +13,7 @@
 const BLOCKED = {
   kind: "failed",
   sent: false,
-  reason: "leafs were lost under it",
+  reason: "query is quarantined",
   blockReason: { kind: "quarantined", fingerprint: "q" },
 } as const;
 
