--- a/routing/mod.ts
+++ b/routing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Routes: how a request's host and path decide which services answer it.
+ * Routes: map a request's host and path to the services that answer it.
  *
  * @module
  */
--- a/routing/route_table.ts
+++ b/routing/route_table.ts
@@ -7,20 +7,20 @@
 import { type QueuedRoute, queueAllowancesMs } from "../admission/mod.js";
 import type { Configuration, Route, ServiceTerms } from "./configuration.js";
 
-/** A configuration arranged for look-ups. */
+/** A configuration indexed for lookups. */
 export interface RouteTable {
   readonly configuration: Configuration;
   /** Routes of each host, longest prefix first. */
   readonly routesByHost: ReadonlyMap<string, ReadonlyArray<Route>>;
   readonly termsByService: ReadonlyMap<string, ServiceTerms>;
-  /** Longest time that calls may be expected to wait at leafs, in milliseconds, by the route's name. */
+  /** Maximum expected queue wait at leafs, in milliseconds, by the route's name. */
   readonly queueAllowancesMs: ReadonlyMap<string, number>;
 }
 
 /**
- * Arranges a configuration for look-ups.
+ * Indexes a configuration for lookups.
  *
- * @param configuration - What operators configured.
+ * @param configuration - The configuration.
  * @returns The table.
  */
 export function buildRouteTable(configuration: Configuration): RouteTable {
@@ -41,7 +41,7 @@
   };
 }
 
-/** A route that gathers; requests to a single leaf are not refused for queues. */
+/** Returns the route if it gathers. Requests to a single leaf are not refused for queues. */
 function queuedRoute({ name, aimMs, priorityRank, target }: Route): ReadonlyArray<QueuedRoute> {
   return target.kind === "gather" ? [{ name, aimMs, priorityRank, shards: target.shards }] : [];
 }
@@ -49,30 +49,31 @@
 /**
  * Lists the regions in which requests to a host may be served.
  *
- * @param table - The configuration in force.
+ * @param table - The current configuration.
  * @param host - The host.
- * @returns Regions that are a home of each of its routes; empty where a route is served anywhere.
+ * @returns The allowed regions that all routes of the host share; empty if a route is unrestricted
+ *   or if they share none.
  */
 export function allowedRegionsOfHost(table: RouteTable, host: string): ReadonlyArray<string> {
   const [first, ...others] = table.routesByHost.get(host.toLowerCase()) ?? [];
   const homes = first?.homes ?? [];
-  return homes.filter((home) => others.every((route) => route.homes.includes(home)));
+  return homes.filter((region) => others.every((route) => route.homes.includes(region)));
 }
 
-/** What of a request decides its route. */
+/** Properties of a request that determine its route. */
 export interface RouteKey {
-  /** Host as the caller named it, with or without a port. */
+  /** Host as sent by the caller, with or without a port. */
   readonly host: string;
-  /** Path, with or without a query. */
+  /** Path, with or without a query string. */
   readonly path: string;
 }
 
 /**
  * Finds the route with the longest prefix among those of the host.
  *
- * @param table - The configuration in force.
+ * @param table - The current configuration.
  * @param key - Host and path of the request.
- * @returns The route, or nothing where the configuration has none.
+ * @returns The route, or `undefined` if none matches.
  */
 export function findRoute(table: RouteTable, { host, path }: RouteKey): Route | undefined {
   const name = host.replace(/:\d+$/, "").toLowerCase();
--- a/routing/route_table_test.ts
+++ b/routing/route_table_test.ts
@@ -29,16 +29,16 @@
   t.equal(findRoute(TABLE, { host: "h.example", path: "/a/c" })?.name, "short");
 });
 
-t.test("findRoute() passes over port and case of the host", async (t) => {
+t.test("findRoute() ignores port and case of the host", async (t) => {
   t.equal(findRoute(TABLE, { host: "H.Example:80", path: "/a/" })?.name, "short");
 });
 
-t.test("findRoute() finds nothing on another host or path", async (t) => {
+t.test("findRoute() is undefined for another host or path", async (t) => {
   t.equal(findRoute(TABLE, { host: "other.example", path: "/a/" }), undefined);
   t.equal(findRoute(TABLE, { host: "h.example", path: "/ab/" }), undefined);
 });
 
-t.test("routeTable() gives routes to a single leaf no allowance for queues", async (t) => {
+t.test("buildRouteTable() sets no queue allowance for routes to a single leaf", async (t) => {
   const single = route("one leaf", "h.example", "/a/");
   const target = { kind: "gather", shards: ["s"], topRecords: 1, leastShare: 1 } as const;
   const gather = { ...route("all shards", "h.example", "/b/"), target };
--- a/routing/select_service.ts
+++ b/routing/select_service.ts
@@ -1,5 +1,5 @@
 /**
- * Shares a route's requests among its services in proportion to their weights.
+ * Distributes a route's requests among its services in proportion to their weights.
  *
  * @module
  */
@@ -8,18 +8,18 @@
 /** How far each service of a route is ahead of or behind its due share. */
 export type ServiceCredits = ReadonlyMap<string, number>;
 
-/** A choice and the credits after it. */
+/** A selected service, and the credits after the selection. */
 export interface ServiceChoice {
   readonly service: string;
   readonly credits: ServiceCredits;
 }
 
 /**
- * Picks the service of the next request by smooth weighted round robin, so that any run of requests
- * is close to the weights.
+ * Selects the service of the next request by smooth weighted round robin, so that any sequence of
+ * requests is close to the weights.
  *
  * @param services - Services of the route; at least one.
- * @param credits - Credits after the last choice; empty at first.
+ * @param credits - Credits after the last selection; initially empty.
  * @returns The service and the new credits.
  */
 export function selectService(
@@ -27,11 +27,11 @@
   credits: ServiceCredits,
 ): ServiceChoice {
   const totalWeight = services.reduce((sum, { weight }) => sum + weight, 0);
-  const raised = services.map(({ service, weight }) => {
+  const credited = services.map(({ service, weight }) => {
     return { service, credit: (credits.get(service) ?? 0) + weight };
   });
-  const best = raised.reduce((a, b) => (b.credit > a.credit ? b : a));
-  const next = raised.map(({ service, credit }) => {
+  const best = credited.reduce((a, b) => (b.credit > a.credit ? b : a));
+  const next = credited.map(({ service, credit }) => {
     return [service, service === best.service ? credit - totalWeight : credit] as const;
   });
   return { service: best.service, credits: new Map(next) };
--- a/routing/select_service_test.ts
+++ b/routing/select_service_test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { type ServiceCredits, selectService } from "./select_service.js";
 
-t.test("splitService() is close to the weights over any run of requests", async (t) => {
+t.test("selectService() is close to the weights over any sequence of requests", async (t) => {
   const services = [
     { service: "a", weight: 70 },
     { service: "b", weight: 20 },
@@ -22,9 +22,12 @@
   }
 });
 
-t.test("splitService() drops the credit of a service that left the route", async (t) => {
-  const credits = new Map([["gone", 1_000]]);
-  const choice = selectService([{ service: "a", weight: 1 }], credits);
-  t.equal(choice.service, "a");
-  t.notOk(choice.credits.has("gone"));
-});
+t.test(
+  "selectService() drops the credit of a service that was removed from the route",
+  async (t) => {
+    const credits = new Map([["removed", 1_000]]);
+    const choice = selectService([{ service: "a", weight: 1 }], credits);
+    t.equal(choice.service, "a");
+    t.notOk(choice.credits.has("removed"));
+  },
+);
