--- a/latency/event_loop_idle.ts
+++ b/latency/event_loop_idle.ts
@@ -1,17 +1,15 @@
 /**
- * A clock that runs only while this process waits, so that what it times is the other side.
+ * A clock that excludes the time for which this process itself was busy.
  *
  * @module
  */
 import { performance } from "node:perf_hooks";
 
 /**
- * Tells how long this process has waited for something to happen since it started. Between two moments
- * it moves by the time that passed less what the process itself was busy, as long as it compiles code
- * after a start above all: without it a box that had just restarted took its own 100 to 200 ms a query
- * for queues at all leafs.
+ * Returns the total idle time of the event loop. Intervals measured with it contain the time spent
+ * waiting for others, but not this process's own computation, such as compiling code after a start.
  *
- * @returns The time in milliseconds; it stands still while the process computes.
+ * @returns The idle time, in milliseconds. It does not advance while the process computes.
  */
 export function eventLoopIdleMs(): number {
   return performance.eventLoopUtilization().idle;
--- a/latency/mean_estimate.ts
+++ b/latency/mean_estimate.ts
@@ -1,25 +1,25 @@
 /**
- * An exponentially weighted mean.
+ * Exponentially weighted means.
  *
  * @module
  */
 
 const WEIGHT = 0.2;
 
-/** How a steady mean takes in an observation. */
+/** How a clamped mean weighs an observation. */
 export interface ClampedMeanOptions {
-  /** Most that one observation counts for, as a multiple of the mean. */
+  /** Maximum value of an observation, as a multiple of the mean. */
   readonly outlierFactor: number;
   /** Weight of one observation, 0 to 1; default 0.2. */
   readonly weight?: number;
 }
 
 /**
- * Folds an observation into a mean that a single outlier must not carry away.
+ * Updates a mean with an observation, clamped so that a single outlier has little effect.
  *
- * @param mean - Mean so far; 0 when there is none.
+ * @param mean - Current mean; 0 if there is none.
  * @param observed - New observation, in the same unit.
- * @param options - How much one observation counts for.
+ * @param options - Weight and limit of the observation.
  * @returns The new mean.
  */
 export function updateClampedMean(
@@ -34,11 +34,11 @@
 }
 
 /**
- * Folds an observation into a mean.
+ * Updates a mean with an observation.
  *
- * @param mean - Mean so far; 0 when there is none.
+ * @param mean - Current mean; 0 if there is none.
  * @param observed - New observation, in the same unit.
- * @returns The new mean; the observation itself when it is the first.
+ * @returns The new mean; the observation itself if it is the first.
  */
 export function updateMean(mean: number, observed: number): number {
   return mean === 0 ? observed : mean + WEIGHT * (observed - mean);
--- a/latency/mod.ts
+++ b/latency/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Estimates of latency that take constant space and are updated with one observation at a time.
+ * Latency estimates that take constant space and are updated one observation at a time.
  *
  * @module
  */
--- a/latency/quantile_estimate.ts
+++ b/latency/quantile_estimate.ts
@@ -1,33 +1,41 @@
 /**
- * A running estimate of a quantile that follows a moving distribution.
+ * A running estimate of a quantile that follows a changing distribution.
  *
  * @module
  */
 import { updateClampedMean } from "./mean_estimate.js";
 
-/** What is known of a latency's distribution. */
+/** An estimate of a latency distribution. */
 export interface QuantileEstimate {
   /** Estimated quantile, in milliseconds; 0 before the first observation. */
   readonly quantileMs: number;
-  /** Mean of the observations, in milliseconds; sets the size of a step. */
+  /** Mean of the observations, in milliseconds. Determines the step size. */
   readonly meanMs: number;
-  /** Observations so far. */
+  /** Number of observations. */
   readonly count: number;
 }
 
 /** An estimate without any observation. */
 export const NO_ESTIMATE: QuantileEstimate = { quantileMs: 0, meanMs: 0, count: 0 };
 
-/** Size of a step; small, so that one slow query with many shards does not carry the estimate away. */
+/**
+ * Step size, as a fraction of the mean. Small, so that one slow query with many shards has little
+ * effect.
+ */
 const STEP_SHARE = 0.03;
 
-/** Most that the estimate is, as a multiple of the mean; steps are too small to come down from far. */
-const MOST_MEANS = 3;
+/**
+ * Maximum of the estimate, as a multiple of the mean, since it recovers slowly from large values.
+ */
+const MAX_MEANS = 3;
 
-/** Weight of one observation in the mean; light, as all shards of a query come together. */
+/**
+ * Weight of one observation in the mean. Small, as the observations of a query's shards arrive
+ * together.
+ */
 const MEAN_WEIGHT = 0.02;
 
-/** Most that one observation counts for in the mean, as a multiple of it. */
+/** Maximum value of an observation in the mean, as a multiple of it. */
 const OUTLIER_FACTOR = 2;
 
 /**
@@ -35,9 +43,9 @@
  *
  * Source: Robbins and Monro, "A Stochastic Approximation Method", 1951.
  *
- * @param estimate - Estimate so far.
- * @param observedMs - New latency in milliseconds.
- * @param quantile - Which quantile, 0 to 1.
+ * @param estimate - Current estimate.
+ * @param observedMs - New latency, in milliseconds.
+ * @param quantile - The quantile to estimate, 0 to 1.
  * @returns The new estimate.
  */
 export function updateQuantile(
@@ -47,7 +55,7 @@
 ): QuantileEstimate {
   const meanMs = updateClampedMean(estimate.meanMs, observedMs, {
     outlierFactor: OUTLIER_FACTOR,
-    // A running mean at first, so that a cold start weighs no more than its share.
+    // An arithmetic mean at first, so that the first observations are not overweighted.
     weight: Math.max(MEAN_WEIGHT, 1 / (estimate.count + 1)),
   });
   if (estimate.count === 0) {
@@ -56,6 +64,6 @@
   const stepMs = STEP_SHARE * meanMs;
   const above = observedMs > estimate.quantileMs;
   const movedMs = estimate.quantileMs + stepMs * (above ? quantile : quantile - 1);
-  const quantileMs = Math.min(Math.max(movedMs, 0), meanMs * MOST_MEANS);
+  const quantileMs = Math.min(Math.max(movedMs, 0), meanMs * MAX_MEANS);
   return { quantileMs, meanMs, count: estimate.count + 1 };
 }
