--- a/limits/extra_load.ts
+++ b/limits/extra_load.ts
@@ -1,42 +1,42 @@
 /**
- * The budget that hedges and retries are paid from: a share of the first calls.
+ * The budget that pays for hedges and retries: a fraction of the first calls.
  *
  * @module
  */
 
-/** What a service may still spend on extra leaf calls. */
+/** A service's remaining budget of extra leaf calls. */
 export interface ExtraLoadBudget {
-  /** Extra calls that may be made now. */
+  /** Number of extra calls that may be made now. */
   readonly tokens: number;
 }
 
-/** What an extra call is for; retries may use what hedges must leave over. */
+/** Kind of an extra call. Retries may use the reserve that hedges must leave. */
 export type ExtraCallKind = "hedge" | "retry";
 
-/** Extra calls that a budget starts with and holds at most. */
+/** Default capacity of a budget, in extra calls. */
 export const EXTRA_LOAD_BURST = 20;
 
-/** Share of the most that a budget holds which each kind of call must leave over. */
-const FLOOR_SHARES: Readonly<Record<ExtraCallKind, number>> = { hedge: 0.4, retry: 0 };
+/** Reserve that each kind of call must leave, as a fraction of the capacity. */
+const RESERVE_SHARES: Readonly<Record<ExtraCallKind, number>> = { hedge: 0.4, retry: 0 };
 
-/** How fast a budget grows, and how far. */
+/** Refill rate and capacity of a budget. */
 export interface ExtraLoadTerms {
-  /** Extra calls that each first call adds. */
+  /** Extra calls added by each first call. */
   readonly extraLoadShare: number;
-  /** Most extra calls that the budget holds. */
+  /** Capacity of the budget, in extra calls. */
   readonly burstCalls?: number;
 }
 
-/** A budget nothing was spent from. */
+/** A full budget of the default capacity. */
 export const FULL_BUDGET: ExtraLoadBudget = { tokens: EXTRA_LOAD_BURST };
 
 /**
  * Credits first calls to a budget.
  *
- * @param budget - Budget so far.
- * @param calls - First calls made.
- * @param options - The service's share of extra calls, and the most that the budget holds.
- * @returns The budget after that.
+ * @param budget - Current budget.
+ * @param calls - Number of first calls.
+ * @param options - The service's share of extra calls, and the capacity of the budget.
+ * @returns The updated budget.
  */
 export function creditFirstCalls(
   budget: ExtraLoadBudget,
@@ -49,16 +49,16 @@
 /**
  * Takes one extra call from a budget.
  *
- * @param budget - Budget so far.
- * @param kind - What the call is for.
- * @param options - Most extra calls that the budget holds; by default as many as at its start.
- * @returns The budget after that, or nothing when it does not allow the call.
+ * @param budget - Current budget.
+ * @param kind - Kind of the call.
+ * @param options - Capacity of the budget.
+ * @returns The updated budget, or `undefined` if it does not allow the call.
  */
 export function takeExtraCall(
   budget: ExtraLoadBudget,
   kind: ExtraCallKind,
   { burstCalls = EXTRA_LOAD_BURST }: Pick<ExtraLoadTerms, "burstCalls"> = {},
 ): ExtraLoadBudget | undefined {
-  const left = budget.tokens - 1;
-  return left >= FLOOR_SHARES[kind] * burstCalls ? { tokens: left } : undefined;
+  const remaining = budget.tokens - 1;
+  return remaining >= RESERVE_SHARES[kind] * burstCalls ? { tokens: remaining } : undefined;
 }
--- a/limits/mod.ts
+++ b/limits/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Limits on what is admitted and on extra load.
+ * Limits on admitted requests and on extra load.
  *
  * @module
  */
--- a/limits/shared_limit.ts
+++ b/limits/shared_limit.ts
@@ -1,54 +1,54 @@
 /**
- * A limit that all entries keep together, without an agreement at run time.
+ * A rate limit that all entry boxes enforce together, without run-time coordination.
  *
  * Each entry refills its own bucket with an equal part of the rate: the rate divided by the number
- * of entry boxes that the platform's box list names. An entry that runs short borrows tokens from
- * another, which takes them out of its own bucket before it sends them, so that their sum never
- * grows. A box the list has only just named adds nothing of its own until every other box must have
- * heard of it (`JOIN_WAIT_MS`); a silent box keeps its part until the list drops it, since it may
- * still be admitting.
+ * of entry boxes in the platform's box list. An entry that runs out borrows tokens from another,
+ * which removes them from its own bucket before sending them, so that their sum never grows. A
+ * newly listed box adds no tokens of its own until every other box must have received the list
+ * (`JOIN_WAIT_MS`). An unresponsive box keeps its part until it is removed from the list, since it
+ * may still be admitting requests.
  *
  * @module
  */
 import { type BucketRate, refill, type TokenBucket } from "./token_bucket.js";
 
-/** Time after which each connected box knows a new box list, in milliseconds. */
+/** Time after which every connected box has received a new box list, in milliseconds. */
 export const JOIN_WAIT_MS = 10_000;
 
-/** Share of its tokens that a lender keeps for its own callers. */
-const LENDER_KEEPS = 0.5;
+/** Fraction of its tokens that a lender keeps for its own callers. */
+const LENDER_RESERVE_SHARE = 0.5;
 
 /** One entry's part of a shared limit. */
 export interface LimitShare {
   readonly bucket: TokenBucket;
-  /** Whether a request to borrow is on its way. */
+  /** Whether a request to borrow is in flight. */
   readonly borrowing: boolean;
-  /** Requests turned away since the last loan; how much to ask for. */
+  /** Requests refused since the last loan; the number of tokens to borrow. */
   readonly refusedSinceLoan: number;
 }
 
 /**
- * Works out an entry's part of a service's rate.
+ * Computes an entry's part of a service's rate.
  *
- * @param whole - Rate and burst of the service over all boxes.
- * @param options - Number of entry boxes in the box list, and how long this box has stood in it.
+ * @param total - Rate and burst of the service over all boxes.
+ * @param options - Number of entry boxes in the box list, and how long this box has been listed, in
+ *   milliseconds.
  * @returns Rate and burst of this entry's bucket.
  */
 export function entryRate(
-  whole: BucketRate,
+  total: BucketRate,
   { entryBoxes, listedForMs }: { readonly entryBoxes: number; readonly listedForMs: number },
 ): BucketRate {
   const parts = Math.max(1, entryBoxes);
-  const perSecond = parts > 1 && listedForMs < JOIN_WAIT_MS ? 0 : whole.perSecond / parts;
-  return { perSecond, burst: whole.burst / parts };
+  const perSecond = parts > 1 && listedForMs < JOIN_WAIT_MS ? 0 : total.perSecond / parts;
+  return { perSecond, burst: total.burst / parts };
 }
 
 /**
- * Makes an entry's share at the moment it first needs one; it starts empty on a box that has only
- * just joined.
+ * Creates an entry's share when it is first needed. It is empty on a box that has only just joined.
  *
  * @param rate - Rate and burst of this entry's bucket.
- * @param options - The present moment.
+ * @param options - Current time, in milliseconds.
  * @returns A new share.
  */
 export function newShare(rate: BucketRate, { nowMs }: { readonly nowMs: number }): LimitShare {
@@ -61,8 +61,8 @@
  *
  * @param share - The entry's share.
  * @param rate - Rate and burst of its bucket.
- * @param options - The present moment.
- * @returns Whether the request is admitted, and the share after it.
+ * @param options - Current time, in milliseconds.
+ * @returns Whether the request is admitted, and the updated share.
  */
 export function admit(
   share: LimitShare,
@@ -81,12 +81,12 @@
 }
 
 /**
- * Lends tokens to another entry: takes them out of this share.
+ * Lends tokens to another entry, and removes them from this share.
  *
  * @param share - The lender's share.
  * @param rate - Rate and burst of its bucket.
- * @param options - Tokens asked for and the present moment.
- * @returns Whole tokens lent, and the share after that.
+ * @param options - Tokens requested, and the current time in milliseconds.
+ * @returns The integer number of tokens lent, and the updated share.
  */
 export function lend(
   share: LimitShare,
@@ -94,7 +94,7 @@
   { asked, nowMs }: { readonly asked: number; readonly nowMs: number },
 ): { readonly lent: number; readonly share: LimitShare } {
   const bucket = refill(share.bucket, rate, { nowMs });
-  const spare = Math.floor(bucket.tokens * (1 - LENDER_KEEPS));
+  const spare = Math.floor(bucket.tokens * (1 - LENDER_RESERVE_SHARE));
   const lent = Math.max(0, Math.min(Math.floor(asked), spare));
   return { lent, share: { ...share, bucket: { ...bucket, tokens: bucket.tokens - lent } } };
 }
@@ -103,8 +103,8 @@
  * Adds tokens that another entry lent.
  *
  * @param share - The borrower's share.
- * @param lent - Tokens that the lender took out of its own.
- * @returns The share after that.
+ * @param lent - Tokens that the lender removed from its share.
+ * @returns The updated share.
  */
 export function receiveLoan(share: LimitShare, lent: number): LimitShare {
   const bucket = { ...share.bucket, tokens: share.bucket.tokens + lent };
--- a/limits/token_bucket.ts
+++ b/limits/token_bucket.ts
@@ -1,10 +1,10 @@
 /**
- * A token bucket as plain data.
+ * An immutable token bucket.
  *
  * @module
  */
 
-/** Tokens left, and when they were counted. */
+/** Tokens left, and when they were updated. */
 export interface TokenBucket {
   readonly tokens: number;
   readonly updatedAtMs: number;
@@ -12,19 +12,19 @@
 
 /** Rate and size of a bucket. */
 export interface BucketRate {
-  /** Tokens that come in each second. */
+  /** Tokens added each second. */
   readonly perSecond: number;
-  /** Most tokens that the bucket holds. */
+  /** Maximum number of tokens. */
   readonly burst: number;
 }
 
 /**
- * Brings a bucket up to now.
+ * Refills a bucket for the time that has passed.
  *
- * @param bucket - Bucket as last counted.
- * @param rate - Rate and size that hold since then.
- * @param options - The present moment.
- * @returns The bucket as of now; a clock that went back adds nothing.
+ * @param bucket - Bucket as last updated.
+ * @param rate - Rate and size since then.
+ * @param options - Current time, in milliseconds.
+ * @returns The updated bucket. A clock that went back adds nothing.
  */
 export function refill(
   bucket: TokenBucket,
@@ -37,11 +37,11 @@
 }
 
 /**
- * Works out when a bucket holds one token again.
+ * Computes the time until a bucket holds one token.
  *
  * @param bucket - Bucket as of now.
  * @param rate - Its rate.
- * @returns Milliseconds until then; 1000 when nothing comes in.
+ * @returns The time in milliseconds; 1000 if the rate is 0.
  */
 export function msUntilToken(bucket: TokenBucket, rate: BucketRate): number {
   if (bucket.tokens >= 1) {
