--- a/extra_calls/extra_call_budgets.ts
+++ b/extra_calls/extra_call_budgets.ts
@@ -1,46 +1,48 @@
 /**
- * The budgets of extra calls, one a service. In each window all boxes together must stay within a share
- * of the service's requests and a slack; each box counts its own requests and holds its part of the
- * slack, so that nothing needs to be agreed.
+ * Budgets of extra calls, one for each service. In each window, the extra calls of all boxes
+ * together stay within a share of the service's requests plus a slack. Each box counts its own
+ * requests and holds its part of the slack, so that no coordination is needed.
  *
- * Load pattern: leafs of a shard that are slow, refuse or lose calls for some seconds after a calm
- * while. Counted over the window, what was not needed before is there at once: a box may make 14 extra
- * calls in a row at 6 requests a second, where a bucket of tokens held 4.
+ * The sliding window lets unused budget accumulate for bursts: leafs of a shard that are slow,
+ * refuse or fail calls for a few seconds after a calm period.
  *
  * @module
  */
 import type { ExtraCallKind } from "../limits/mod.js";
 import { SlidingWindowCounter } from "./sliding_window_counter.js";
 
-/** Part of the allowed share that is spent; the rest is kept in hand for requests counted elsewhere. */
+/**
+ * Fraction of the allowed share that is spent. The remainder covers requests that are counted
+ * elsewhere.
+ */
 const SHARE_USED = 0.9;
 
-/** Part of the slack that boxes hold together once they have run for a whole window. */
+/** Fraction of the slack that all boxes use together after running for a full window. */
 const SLACK_USED = 0.56;
 
 /**
- * Part of the slack that boxes hold before that, as the run before may have spent its own: all boxes
- * may start anew twice within a window (0.56 and twice 0.18 are 0.92). The rest is for boxes that are
- * cut off and count the others out.
+ * Fraction of the slack before that, as the previous run may have spent its own. All boxes may
+ * restart twice within a window: 0.56 + 2 * 0.18 = 0.92. The remainder covers partitioned boxes
+ * that do not count the others.
  */
 const START_SLACK_USED = 0.18;
 
-/** Added to the window, as calls reach their leafs a moment after they were counted, in milliseconds. */
-const UNDER_WAY_MS = 500;
+/** Added to the window, as calls reach their leafs after they are counted, in milliseconds. */
+const IN_FLIGHT_MS = 500;
 
-/** Part of a budget that each kind of call may spend; the rest is left to the other. */
-const KIND_PARTS: Readonly<Record<ExtraCallKind, number>> = { hedge: 0.75, retry: 1 };
+/** Fraction of a budget that each kind of call may spend. Hedges leave a reserve for retries. */
+const KIND_SHARES: Readonly<Record<ExtraCallKind, number>> = { hedge: 0.75, retry: 1 };
 
 /** What the budgets depend on. */
 export interface ExtraCallTerms {
   readonly nowMs: () => number;
-  /** Tells the extra calls allowed, as a share of a service's requests. */
+  /** Returns the extra calls allowed, as a share of a service's requests. */
   readonly share: () => number;
-  /** Tells the extra calls allowed besides in each window, over all boxes. */
+  /** Returns the additional extra calls allowed in each window, over all boxes. */
   readonly slackCalls: () => number;
-  /** Tells the length of the window, in milliseconds. */
+  /** Returns the length of the window, in milliseconds. */
   readonly windowMs: () => number;
-  /** Tells this box's share of the slack, 0 to 1; the shares of all boxes come to 1. */
+  /** Returns this box's share of the slack, 0 to 1. The shares of all boxes add up to 1. */
   readonly slackShare: () => number;
 }
 
@@ -62,7 +64,7 @@
    */
   constructor(terms: ExtraCallTerms) {
     this.#terms = terms;
-    this.#countedMs = terms.windowMs() + UNDER_WAY_MS;
+    this.#countedMs = terms.windowMs() + IN_FLIGHT_MS;
     this.#startedAtMs = terms.nowMs();
   }
 
@@ -76,17 +78,17 @@
   }
 
   /**
-   * Takes an extra call out of a service's budget.
+   * Takes an extra call from a service's budget, if the budget allows it.
    *
    * @param service - The service.
-   * @param kind - What the call is for.
-   * @returns Whether the budget allows it.
+   * @param kind - Kind of the call.
+   * @returns Whether the call is allowed.
    */
   tryTake(service: string, kind: ExtraCallKind): boolean {
     const nowMs = this.#terms.nowMs();
     const counts = this.#countsOf(service);
     const spent = counts.extra.count(nowMs);
-    const isAllowed = spent + 1 <= this.#allowed(counts, nowMs) * KIND_PARTS[kind];
+    const isAllowed = spent + 1 <= this.#allowed(counts, nowMs) * KIND_SHARES[kind];
     if (isAllowed) {
       counts.extra.add(nowMs);
     }
@@ -94,10 +96,10 @@
   }
 
   /**
-   * Tells how many extra calls a service's budget allows at this moment.
+   * Returns how many extra calls a service's budget allows now.
    *
    * @param service - The service.
-   * @returns The calls, less than 0 where the budget has shrunk since.
+   * @returns The number of calls; negative if the budget has shrunk since.
    */
   remaining(service: string): number {
     const nowMs = this.#terms.nowMs();
@@ -105,23 +107,23 @@
     return this.#allowed(counts, nowMs) - counts.extra.count(nowMs);
   }
 
-  /** Extra calls that each service's budget allows at this moment. */
+  /** Returns how many extra calls each service's budget allows now. */
   remainingByService(): ReadonlyMap<string, number> {
     return new Map([...this.#counts.keys()].map((service) => [service, this.remaining(service)]));
   }
 
   #allowed({ requests }: ServiceCounts, nowMs: number): number {
     const { share, slackCalls, slackShare } = this.#terms;
-    const isYoung = nowMs - this.#startedAtMs < this.#countedMs;
-    const slackUsed = isYoung ? START_SLACK_USED : SLACK_USED;
+    const isStarting = nowMs - this.#startedAtMs < this.#countedMs;
+    const slackUsed = isStarting ? START_SLACK_USED : SLACK_USED;
     const slack = slackCalls() * slackUsed * slackShare();
     return requests.count(nowMs) * share() * SHARE_USED + slack;
   }
 
   #countsOf(service: string): ServiceCounts {
-    const held = this.#counts.get(service);
-    if (held !== undefined) {
-      return held;
+    const existing = this.#counts.get(service);
+    if (existing !== undefined) {
+      return existing;
     }
     const counts = {
       requests: new SlidingWindowCounter(this.#countedMs),
--- a/extra_calls/extra_call_budgets_test.ts
+++ b/extra_calls/extra_call_budgets_test.ts
@@ -6,7 +6,7 @@
 const SLACK_CALLS = 54;
 const WINDOW_MS = 10_000;
 
-/** Budgets of boxes that have run for a while, by one clock. */
+/** Creates the budgets of several boxes with a common clock. */
 function budgetsOf(
   boxes: number,
   { nowMs = () => 0 }: { readonly nowMs?: () => number } = {},
@@ -22,22 +22,22 @@
   });
 }
 
-/** Things that happened, with their moments. */
-type Moments = ReadonlyArray<number>;
+/** Times of events, in milliseconds. */
+type Times = ReadonlyArray<number>;
 
-function countWithin(moments: Moments, untilMs: number): number {
-  return moments.filter((atMs) => atMs > untilMs - WINDOW_MS && atMs <= untilMs).length;
+function countWithin(times: Times, untilMs: number): number {
+  return times.filter((atMs) => atMs > untilMs - WINDOW_MS && atMs <= untilMs).length;
 }
 
 t.test("all boxes together stay within the share and the slack in each window", async (t) => {
-  const act = fc.record({ box: fc.nat(6), extra: fc.boolean(), afterMs: fc.nat(120) });
+  const action = fc.record({ box: fc.nat(6), extra: fc.boolean(), afterMs: fc.nat(120) });
   fc.assert(
-    fc.property(fc.array(act, { minLength: 100, maxLength: 1_500 }), (acts) => {
+    fc.property(fc.array(action, { minLength: 100, maxLength: 1_500 }), (actions) => {
       let nowMs = 0;
       const budgets = budgetsOf(7, { nowMs: () => nowMs });
       const requests: Array<number> = [];
       const extra: Array<number> = [];
-      return acts.every(({ box, extra: isExtra, afterMs }) => {
+      return actions.every(({ box, extra: isExtra, afterMs }) => {
         nowMs += afterMs;
         if (!isExtra) {
           budgets[box]?.credit("s");
@@ -54,7 +54,7 @@
   t.pass();
 });
 
-t.test("what a calm while has left over is there at once", async (t) => {
+t.test("unused budget of a calm period is available immediately", async (t) => {
   let nowMs = 0;
   const [only] = budgetsOf(1, { nowMs: () => nowMs });
   for (let request = 0; request < 60; request++) {
@@ -67,10 +67,10 @@
   }
   t.ok(taken > 15, `${taken} calls in a row`);
   nowMs += 2 * WINDOW_MS;
-  t.ok(only?.tryTake("s", "retry"), "and again in a later window");
+  t.ok(only?.tryTake("s", "retry"), "the budget is available again in a later window");
 });
 
-/** Spends all that budgets allow; tells how many calls that were. */
+/** Spends everything that budgets allow, and returns the number of calls. */
 function spend(budgets: ReadonlyArray<ExtraCallBudgets>): number {
   let extra = 0;
   for (const each of budgets) {
@@ -81,7 +81,7 @@
   return extra;
 }
 
-t.test("boxes that start anew within a window keep the sum within the bound", async (t) => {
+t.test("boxes that restart within a window stay within the total bound", async (t) => {
   let nowMs = 0;
   const before = budgetsOf(7, { nowMs: () => nowMs });
   nowMs = 3 * WINDOW_MS;
@@ -91,16 +91,16 @@
       each.credit("s");
     }
   }
-  // All boxes spend what they have saved up, then all start anew twice within the same window.
+  // All boxes spend their accumulated budget, then all restart twice within the same window.
   const extra = spend(before) + spend(budgetsOf(7)) + spend(budgetsOf(7));
   const allowed = SHARE * requests + SLACK_CALLS;
   t.ok(extra > 0 && extra <= allowed, `${extra} extra calls beside ${requests} requests`);
 });
 
-t.test("hedges leave retries some of the budget", async (t) => {
+t.test("hedges leave a part of the budget to retries", async (t) => {
   const [only] = budgetsOf(1);
   while (only?.tryTake("s", "hedge")) {
-    // Takes all that hedges may have.
+    // Spends everything that hedges may use.
   }
   t.ok(only?.tryTake("s", "retry"));
 });
--- a/extra_calls/mod.ts
+++ b/extra_calls/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Extra calls: when a shard is asked again, and which budget pays for it.
+ * Budgets of extra calls: hedges and retries.
  *
  * @module
  */
--- a/extra_calls/sliding_window_counter.ts
+++ b/extra_calls/sliding_window_counter.ts
@@ -1,43 +1,43 @@
 /**
- * Counts what happened within the last while.
+ * Counts events within a sliding window.
  *
  * @module
  */
 
-/** Parts that the while is counted in; what is too old is forgotten a part at a time. */
-const PARTS = 20;
+/** Number of slots of the window. Old events expire one slot at a time. */
+const SLOTS = 20;
 
-/** A count over a window that moves on with time. */
+/** Counts the events of a sliding window. */
 export class SlidingWindowCounter {
-  readonly #counts = new Array<number>(PARTS + 1).fill(0);
-  readonly #partMs: number;
-  #part = 0;
+  readonly #counts = new Array<number>(SLOTS + 1).fill(0);
+  readonly #slotMs: number;
+  #slot = 0;
   #sum = 0;
 
   /**
-   * @param windowMs - Length of the window, in milliseconds. What happened up to a twentieth of it
-   *   earlier still counts.
+   * @param windowMs - Length of the window, in milliseconds. Events up to one slot older still
+   *   count.
    */
   constructor(windowMs: number) {
-    this.#partMs = windowMs / PARTS;
+    this.#slotMs = windowMs / SLOTS;
   }
 
   /**
-   * Counts one thing.
+   * Counts one event.
    *
-   * @param nowMs - The present moment; never earlier than before.
+   * @param nowMs - Current time, in milliseconds; must not decrease.
    */
   add(nowMs: number): void {
     this.#moveTo(nowMs);
-    const index = this.#part % this.#counts.length;
+    const index = this.#slot % this.#counts.length;
     this.#counts[index] = (this.#counts[index] ?? 0) + 1;
     this.#sum += 1;
   }
 
   /**
-   * Tells how many things happened within the window.
+   * Returns the number of events within the window.
    *
-   * @param nowMs - The present moment; never earlier than before.
+   * @param nowMs - Current time, in milliseconds; must not decrease.
    * @returns The count.
    */
   count(nowMs: number): number {
@@ -46,13 +46,13 @@
   }
 
   #moveTo(nowMs: number): void {
-    const part = Math.floor(nowMs / this.#partMs);
-    const steps = Math.min(part - this.#part, this.#counts.length);
+    const slot = Math.floor(nowMs / this.#slotMs);
+    const steps = Math.min(slot - this.#slot, this.#counts.length);
     for (let step = 1; step <= steps; step++) {
-      const index = (part - steps + step) % this.#counts.length;
+      const index = (slot - steps + step) % this.#counts.length;
       this.#sum -= this.#counts[index] ?? 0;
       this.#counts[index] = 0;
     }
-    this.#part = Math.max(part, this.#part);
+    this.#slot = Math.max(slot, this.#slot);
   }
 }
--- a/extra_calls/sliding_window_counter_test.ts
+++ b/extra_calls/sliding_window_counter_test.ts
@@ -4,19 +4,19 @@
 
 const WINDOW_MS = 1_000;
 
-t.test("a sliding count holds all of the window and little of what was before", async (t) => {
+t.test("a sliding window counts all events of the window and few older ones", async (t) => {
   const gaps = fc.array(fc.nat(300), { minLength: 1, maxLength: 60 });
   fc.assert(
     fc.property(gaps, (afterMs) => {
-      const counted = new SlidingWindowCounter(WINDOW_MS);
-      const moments: Array<number> = [];
+      const counter = new SlidingWindowCounter(WINDOW_MS);
+      const times: Array<number> = [];
       let nowMs = 0;
       return afterMs.every((gapMs) => {
         nowMs += gapMs;
-        counted.add(nowMs);
-        moments.push(nowMs);
-        const within = (spanMs: number) => moments.filter((atMs) => atMs > nowMs - spanMs).length;
-        const count = counted.count(nowMs);
+        counter.add(nowMs);
+        times.push(nowMs);
+        const within = (spanMs: number) => times.filter((atMs) => atMs > nowMs - spanMs).length;
+        const count = counter.count(nowMs);
         return count >= within(WINDOW_MS) && count <= within(WINDOW_MS * 1.06);
       });
     }),
@@ -25,8 +25,8 @@
   t.pass();
 });
 
-t.test("a sliding count forgets all after a long while", async (t) => {
-  const counted = new SlidingWindowCounter(WINDOW_MS);
-  counted.add(10);
-  t.equal(counted.count(50_000), 0);
+t.test("a sliding window is empty after a long pause", async (t) => {
+  const counter = new SlidingWindowCounter(WINDOW_MS);
+  counter.add(10);
+  t.equal(counter.count(50_000), 0);
 });
