--- a/request/_attempts.ts
+++ b/request/_attempts.ts
@@ -57,7 +57,7 @@
     return refused;
   }
   if (context.calling() !== "unrestricted") {
-    return deferAllShards(first, context);
+    return sendFirstCallsSequentially(first, context);
   }
   const congested = queueLoad.queueMs > queueLoad.mostQueueMs;
   const { direct, relays, unserved } = plan;
@@ -78,10 +78,10 @@
 }
 
 /**
- * Defers the first call of every shard, so that only one call of a suspected query is in flight at
- * a time. The restriction ends with the first answer.
+ * Sends the first calls of a suspected query one at a time: the first one if the quarantine permits
+ * it now, and the others once they are due. The restriction ends with the first answer.
  */
-function deferAllShards(first: AttemptStep, context: RequestContext): AttemptStep {
+function sendFirstCallsSequentially(first: AttemptStep, context: RequestContext): AttemptStep {
   return forEachStep(first, first.state.shards.keys(), (current, shardIndex) => {
     return retryOrDefer(current, { shardIndex, context, kind: "replacement" });
   });
@@ -159,10 +159,10 @@
   const { objectiveAtMs, arrivedAtMs, maxAttempts, route } = state.terms;
   const objectiveMs = objectiveAtMs - arrivedAtMs;
   const atMs = context.nowMs + objectiveMs * DEFER_OBJECTIVE_SHARE;
-  const calling = context.calling();
+  const permission = context.calling();
   const mayDefer =
-    (route.target.kind === "gather" || (route.repeatable && calling === "deferred")) &&
-    calling !== "blocked" &&
+    (route.target.kind === "gather" || (route.repeatable && permission === "deferred")) &&
+    permission !== "blocked" &&
     shard.runs < maxAttempts &&
     shard.refusedBy.length < MAX_REFUSALS &&
     atMs < objectiveAtMs + objectiveMs;
@@ -195,14 +195,14 @@
   if (leaf === undefined || (isHedging && wouldLengthenQueues(state, leaf))) {
     return step(state);
   }
-  const calling = context.calling();
-  if (calling === "deferred" || calling === "blocked") {
+  const permission = context.calling();
+  if (permission === "deferred" || permission === "blocked") {
     return step(state);
   }
   if (kind !== "replacement" && !context.takeExtraCall(shard.service, chargedKind(state, kind))) {
     return step(state);
   }
-  return sendAttempt(state, { shardIndex, leaf, context, isTrial: calling === "exclusive" });
+  return sendAttempt(state, { shardIndex, leaf, context, isTrial: permission === "exclusive" });
 }
 
 /**
--- a/request/relayed_test.ts
+++ b/request/relayed_test.ts
@@ -95,7 +95,7 @@
 );
 
 t.test(
-  "hedges to remote leafs go through one box there, which returns only records above the threshold",
+  "hedges to remote leafs go through one box there, which omits records below the threshold",
   async (t) => {
     const driver = new RequestDriver(GATHER_MANY, { remoteLeafs: ["b"] });
     driver.endAttempt(1, answered(200, "one", 5));
