--- a/limits/shared_limit_test.ts
+++ b/limits/shared_limit_test.ts
@@ -17,19 +17,18 @@
       let nowMs = 0;
       let admitted = 0;
       const shares = Array.from({ length: 4 }, () => newShare(rate, { nowMs }));
-      for (const { kind, one: lender, other: borrower, afterMs } of actions) {
+      for (const { kind, one, other, afterMs } of actions) {
         nowMs += afterMs;
-        const share = shares[lender] ?? newShare(rate, { nowMs });
+        const share = shares[one] ?? newShare(rate, { nowMs });
         if (kind === "admit") {
           const taken = admit(share, rate, { nowMs });
           admitted += taken.admitted ? 1 : 0;
-          shares[lender] = taken.share;
-        } else if (lender !== borrower) {
+          shares[one] = taken.share;
+        } else if (one !== other) {
           const loan = lend(share, rate, { asked: 10, nowMs });
-          shares[lender] = loan.share;
-          const borrowerShare = shares[borrower] ?? newShare(rate, { nowMs });
-          shares[borrower] =
-            kind === "lend" ? receiveLoan(borrowerShare, loan.lent) : borrowerShare;
+          shares[one] = loan.share;
+          const borrowerShare = shares[other] ?? newShare(rate, { nowMs });
+          shares[other] = kind === "lend" ? receiveLoan(borrowerShare, loan.lent) : borrowerShare;
         }
       }
       return admitted <= TOTAL.burst + (TOTAL.perSecond * nowMs) / 1000 + 1e-6;
