--- a/box/_listen.ts
+++ b/box/_listen.ts
@@ -1,5 +1,5 @@
 /**
- * Opens a server's port.
+ * Starts HTTP servers.
  *
  * @module
  */
@@ -7,10 +7,11 @@
 import type { SocketAddress } from "../platform/mod.js";
 
 /**
- * Listens at an address.
+ * Binds a server and waits until it accepts connections.
  *
  * @param server - The server.
- * @param where - Address and port.
+ * @param socketAddress - Address and port to listen on.
+ * @throws Error if the address cannot be bound.
  */
 export async function listen(server: Server, { address, port }: SocketAddress): Promise<void> {
   await new Promise<void>((resolve, reject) => {
--- a/box/_make_auxiliary_servers.ts
+++ b/box/_make_auxiliary_servers.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the servers beside the one for requests: ties them to what the box knows.
+ * Creates the servers for readiness, directory, peers and metrics from the state of the box.
  *
  * @module
  */
@@ -21,12 +21,12 @@
 import type { BoxLifecycle } from "./box_lifecycle.js";
 import type { BoxReport } from "./box_report.js";
 
-/** Time that callers may keep an answer of the directory, in milliseconds; at most the setting. */
-const KEEP_MS = 5_000;
+/** Maximum time to live of an address list, in milliseconds; the settings may lower it. */
+const MAX_ADDRESS_TTL_MS = 5_000;
 
-/** What the servers are tied to. */
+/** Options of {@link makeAuxiliaryServers}. */
 export interface MakeAuxiliaryServersOptions {
-  /** Settings in force; ports are those of the start. */
+  /** Returns the current settings; ports never change after startup. */
   readonly settings: () => BoxSettings;
   readonly lifecycle: Pick<BoxLifecycle, "phase">;
   readonly view: Pick<FleetView, "resolveAddresses">;
@@ -41,43 +41,35 @@
 }
 
 /**
- * Makes the servers; none is listening yet.
+ * Creates the servers; none is listening yet.
  *
- * @param options - What they are tied to.
- * @returns Each with its port.
+ * @param options - State that the servers read.
+ * @returns The servers with their ports.
  */
 export function makeAuxiliaryServers(
   options: MakeAuxiliaryServersOptions,
 ): ReadonlyArray<ServerAtPort> {
-  const {
-    access,
-    calls,
-    clusterState: knowledge,
-    lifecycle: life,
-    metrics,
-    places,
-    quarantine,
-  } = options;
+  const { access, calls, clusterState, lifecycle, metrics, places, quarantine } = options;
   const { report, settings, telemetry, view } = options;
   return createAuxiliaryServers({
     settings: settings(),
-    isReady: () => life.phase === "ready",
+    isReady: () => lifecycle.phase === "ready",
     resolveAddresses: ({ host, region }) => {
-      const { routes } = knowledge;
+      const { routes } = clusterState;
       return view.resolveAddresses(
         region,
         routes === undefined ? [] : allowedRegionsOfHost(routes, host),
       );
     },
-    ttlMs: () => Math.min(KEEP_MS, settings().mostKeepMs),
+    ttlMs: () => Math.min(MAX_ADDRESS_TTL_MS, settings().mostKeepMs),
     report,
     clearQuery: (fingerprint) => quarantine.clear(fingerprint),
-    stateSince: (progress) => knowledge.sharedStateSince(progress),
+    stateSince: (progress) => clusterState.sharedStateSince(progress),
     relay: {
       nowMs,
-      eventLoopIdleMs: eventLoopIdleMs,
+      eventLoopIdleMs,
       calls,
-      leafs: () => knowledge.leafs,
+      leafs: () => clusterState.leafs,
       distance: (leaf) => places.distance(leaf),
       access,
       onParts: (count) => telemetry.relayedParts.inc(count),
--- a/box/_make_budgets.ts
+++ b/box/_make_budgets.ts
@@ -1,6 +1,5 @@
 /**
- * Makes a box's budgets of extra calls: what is allowed stands in its settings, its share in its view of
- * the fleet.
+ * Creates a box's budgets of extra calls from its settings and its view of the fleet.
  *
  * @module
  */
@@ -8,18 +7,18 @@
 import type { FleetView } from "../fleet/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 
-/** What the budgets are made from. */
+/** Options of {@link makeBudgets}. */
 export interface MakeBudgetsOptions {
-  /** Settings in force. */
+  /** Returns the current settings. */
   readonly settings: () => BoxSettings;
   readonly view: FleetView;
   readonly nowMs: () => number;
 }
 
 /**
- * Makes the budgets.
+ * Creates the budgets.
  *
- * @param options - What they are made from.
+ * @param options - Settings and fleet view that the budgets read.
  * @returns The budgets.
  */
 export function makeBudgets({ nowMs, settings, view }: MakeBudgetsOptions): ExtraCallBudgets {
--- a/box/_make_fleet_link.ts
+++ b/box/_make_fleet_link.ts
@@ -1,6 +1,6 @@
 /**
- * Makes a box's link to the others: what it learns from them goes to its knowledge, changes of boxes to
- * its view of the fleet.
+ * Creates a box's link to the other boxes. State received from them is merged into the cluster state, and
+ * membership changes update the fleet view.
  *
  * @module
  */
@@ -13,47 +13,38 @@
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
 /**
- * Most queries under which leafs were lost that a datagram tells of, some 40 bytes each; with the members it
- * stays below what a link carries in one piece. Others follow with the next ones.
+ * Maximum number of crash-inducing queries in one datagram, so that it is not fragmented. The remaining ones
+ * follow in later datagrams.
  */
-const MOST_TOLD_QUERIES = 8;
+const MAX_QUERIES_PER_DATAGRAM = 8;
 
-/** What the link is made from. */
+/** Options of {@link makeFleetLink}. */
 export interface MakeFleetLinkOptions {
-  /** Settings in force; names and addresses are those of the start. */
+  /** Returns the current settings; names and addresses never change after startup. */
   readonly settings: () => BoxSettings;
   readonly nowMs: () => number;
   readonly clusterState: ClusterState;
   readonly view: FleetView;
   readonly isLocal: (member: Member) => boolean;
   readonly quarantine: Pick<Quarantine, "applyReports" | "selectReports">;
-  /** Told when a box has changed. */
+  /** Called when the membership state of a box has changed. */
   readonly onMember: () => void;
   readonly telemetry: BoxTelemetry;
 }
 
 /**
- * Makes the link.
+ * Creates the link.
  *
- * @param options - What it is made from.
+ * @param options - State that the link reads and updates.
  * @returns The link, not yet open.
  */
 export function makeFleetLink(options: MakeFleetLinkOptions): FleetLink {
-  const {
-    isLocal: isNear,
-    clusterState: knowledge,
-    nowMs,
-    onMember,
-    quarantine,
-    settings,
-    telemetry,
-    view,
-  } = options;
+  const { isLocal, clusterState, nowMs, onMember, quarantine, settings, telemetry, view } = options;
   const { box, datagramPort } = settings();
   const catchUp = new PeerCatchUp({
     box,
-    clusterState: knowledge,
-    isLocal: isNear,
+    clusterState,
+    isLocal,
     onRemoteUpdate: () => fleet.sendUpdate(view.regionPeers()),
     telemetry,
   });
@@ -62,19 +53,19 @@
     seeds: () => seedAddresses(settings()),
     port: datagramPort,
     nowMs,
-    isLocal: isNear,
-    progress: () => knowledge.progress,
+    isLocal,
+    progress: () => clusterState.progress,
     onProgress: (member, progress) => catchUp.catchUp(member, progress),
-    crashes: () => quarantine.selectReports(MOST_TOLD_QUERIES),
-    onCrashes: (told, sender) => {
-      // The sender has told one box of this region.
-      if (quarantine.applyReports(told) && sender !== undefined && !isNear(sender)) {
+    crashes: () => quarantine.selectReports(MAX_QUERIES_PER_DATAGRAM),
+    onCrashes: (reported, sender) => {
+      // A box of another region sends an update to only one box of this region, which forwards it.
+      if (quarantine.applyReports(reported) && sender !== undefined && !isLocal(sender)) {
         fleet.sendUpdate(view.regionPeers());
       }
     },
-    evacuations: () => knowledge.evacuationUpdate,
-    onEvacuations: (news, sender) => {
-      if (knowledge.mergeEvacuations(news) && sender !== undefined && !isNear(sender)) {
+    evacuations: () => clusterState.evacuationUpdate,
+    onEvacuations: (updates, sender) => {
+      if (clusterState.mergeEvacuations(updates) && sender !== undefined && !isLocal(sender)) {
         fleet.sendUpdate(view.regionPeers());
       }
     },
--- a/box/_make_leaf_access.ts
+++ b/box/_make_leaf_access.ts
@@ -1,5 +1,5 @@
 /**
- * Makes a box's decision on which calls may go to which leafs.
+ * Creates the check of which calls a box may send to which leafs.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { BoxSettings } from "../platform/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
 
-/** What the decision is tied to. */
+/** Options of {@link makeLeafAccess}. */
 export interface MakeLeafAccessOptions {
   readonly settings: BoxSettings;
   readonly nowMs: () => number;
@@ -19,33 +19,33 @@
   readonly quarantine: Pick<Quarantine, "permission">;
 }
 
-/** The decision, and the cold leafs that it rests on. */
+/** The access check and the cold leafs that it consults. */
 export interface LeafAccessSetup {
   readonly access: LeafAccess;
   readonly coldLeafs: ColdLeafs;
 }
 
 /**
- * Makes the decision.
+ * Creates the access check.
  *
- * @param options - What it is tied to.
- * @returns The decision, and the cold leafs.
+ * @param options - State that the check reads.
+ * @returns The access check and the cold leafs that it consults.
  */
 export function makeLeafAccess(options: MakeLeafAccessOptions): LeafAccessSetup {
-  const { clusterState: knowledge, nowMs, quarantine, settings, view } = options;
-  const cold = new ColdLeafs({
+  const { clusterState, nowMs, quarantine, settings, view } = options;
+  const coldLeafs = new ColdLeafs({
     nowMs,
     box: settings.box,
-    warmupTermsOf: (service) => knowledge().routes?.termsByService.get(service),
+    warmupTermsOf: (service) => clusterState().routes?.termsByService.get(service),
     tolerance: { factor: settings.coldOverage, slackCalls: settings.coldSlackCalls },
     callingBoxesOf: (dataCentre) => view.coldLeafCallers(dataCentre),
   });
   const access = new LeafAccess({
-    routes: () => knowledge().routes,
+    routes: () => clusterState().routes,
     regionOf: (dataCentre) => settings.regions.get(dataCentre) ?? dataCentre,
-    evacuated: () => knowledge().evacuated,
-    coldLeafs: cold,
+    evacuated: () => clusterState().evacuated,
+    coldLeafs,
     quarantine,
   });
-  return { access, coldLeafs: cold };
+  return { access, coldLeafs };
 }
--- a/box/_make_quarantine.ts
+++ b/box/_make_quarantine.ts
@@ -1,5 +1,6 @@
 /**
- * Makes a box's quarantine: writes a line for each change, takes back what waits, and tells other boxes.
+ * Creates a box's quarantine. Each change is logged, withdraws waiting calls of the query and is sent to other
+ * boxes.
  *
  * @module
  */
@@ -9,76 +10,79 @@
 import { type CrashRecord, type CrashStatus, Quarantine } from "../quarantine/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
-/** What the quarantine is tied to. */
+/** Options of {@link makeQuarantine}. */
 export interface MakeQuarantineOptions {
   readonly box: string;
   readonly nowMs: () => number;
-  /** Boxes that callers' requests come in at: one that stands by would never try a query, nor clear it. */
+  /**
+   * Returns the boxes that receive callers' requests. A standby box would never send a suspected query, so it
+   * could not clear it.
+   */
   readonly servingBoxes: () => ReadonlyArray<Member>;
   readonly calls: () => Pick<LeafCalls, "withdrawBlocked">;
-  /** Tells other boxes at once. */
+  /** Notifies other boxes immediately. */
   readonly notifyBoxes: () => void;
-  /** Keeps a query that is quarantined beyond the life of all boxes. */
+  /** Stores a quarantined query so that it survives a restart of all boxes. */
   readonly persist: (record: CrashRecord, before: CrashRecord | undefined) => void;
   readonly telemetry: Pick<BoxTelemetry, "event" | "quarantineChanges">;
 }
 
-const SENTENCES: Readonly<Record<CrashStatus, string>> = {
-  suspected: "quarantine: query suspected, leafs were lost under it",
-  quarantined: "quarantine: query is not sent any more",
+const LOG_MESSAGES: Readonly<Record<CrashStatus, string>> = {
+  suspected: "quarantine: query suspected, leafs crashed while they ran it",
+  quarantined: "quarantine: query blocked",
   cleared: "quarantine: query cleared",
 };
 
 /**
- * Makes the quarantine.
+ * Creates the quarantine.
  *
- * @param options - What it is tied to.
+ * @param options - Dependencies of the quarantine.
  * @returns The quarantine.
  */
 export function makeQuarantine(options: MakeQuarantineOptions): Quarantine {
-  const { box, calls, persist: keep, nowMs, servingBoxes: serving, telemetry } = options;
-  const tell = gathered(options.notifyBoxes);
+  const { box, calls, persist, nowMs, servingBoxes, telemetry } = options;
+  const notifyBoxes = batched(options.notifyBoxes);
   return new Quarantine({
     nowMs,
     isTrialBox: (fingerprint) => {
-      const ids = serving().map(({ memberId }) => memberId);
+      const ids = servingBoxes().map(({ memberId }) => memberId);
       return rendezvousRank(fingerprint, ids)[0] === box;
     },
-    onChange: ({ record, before, source, publishNow: isNews }) => {
+    onChange: ({ record, before, source, publishNow }) => {
       const { fingerprint, lostLeafs, lostTrials, standing } = record;
       if (standing !== before?.standing) {
         const fields = { fingerprint, lostLeafs, lostTrials, source, before: before?.standing };
-        telemetry.event("warn", SENTENCES[standing], {
+        telemetry.event("warn", LOG_MESSAGES[standing], {
           ...fields,
           suspectedAgoMs: Math.round(nowMs() - record.suspectedAtMs),
         });
         telemetry.quarantineChanges.add(standing);
         calls().withdrawBlocked(fingerprint);
       }
-      if (isNews && source === "own") {
-        tell();
-        keep(record, before);
+      if (publishNow && source === "own") {
+        notifyBoxes();
+        persist(record, before);
       }
     },
   });
 }
 
 /**
- * Time in which news is gathered before it is told, in milliseconds: with a rack of leafs dozens of queries may
- * fail within a few, and each notice goes to all boxes of the region.
+ * Time for which changes are batched before other boxes are notified, in milliseconds. When a rack fails, many
+ * queries change at almost the same time.
  */
-const GATHER_MS = 10;
+const BATCH_DELAY_MS = 10;
 
-function gathered(act: () => void): () => void {
-  let isDue = false;
+function batched(action: () => void): () => void {
+  let isScheduled = false;
   return () => {
-    if (isDue) {
+    if (isScheduled) {
       return;
     }
-    isDue = true;
+    isScheduled = true;
     setTimeout(() => {
-      isDue = false;
-      act();
-    }, GATHER_MS);
+      isScheduled = false;
+      action();
+    }, BATCH_DELAY_MS);
   };
 }
--- a/box/_make_request_handler.ts
+++ b/box/_make_request_handler.ts
@@ -1,22 +1,22 @@
 /**
- * Makes what takes callers' requests: ties it to the policies and the number of boxes.
+ * Creates the handler of callers' requests with the operators' policies.
  *
  * @module
  */
 import { RequestHandler, type RequestHandlerOptions } from "./request_handler.js";
 import { type CompiledPolicies, RoutePolicies } from "./route_policies.js";
 
-/** What the intake is made from. */
+/** Options of {@link makeRequestHandler}. */
 export interface MakeRequestHandlerOptions extends Omit<RequestHandlerOptions, "policies"> {
-  /** Operators' policy programs; nothing where the routes' own terms decide alone. */
+  /** Operators' policy programs; `undefined` if only the routes' own settings apply. */
   readonly programs: CompiledPolicies | undefined;
 }
 
 /**
- * Makes the intake.
+ * Creates the request handler.
  *
- * @param options - What it is made from.
- * @returns The intake.
+ * @param options - Dependencies of the handler and the policy programs.
+ * @returns The request handler.
  */
 export function makeRequestHandler({
   programs,
@@ -24,7 +24,7 @@
 }: MakeRequestHandlerOptions): RequestHandler {
   const { telemetry } = options;
   const policies = new RoutePolicies(programs, (policy, reason) => {
-    telemetry.event("warn", "policy: program failed, its default holds", { policy, reason });
+    telemetry.event("warn", "policy: program failed, using its default", { policy, reason });
   });
   return new RequestHandler({ ...options, policies });
 }
--- a/box/_make_runner.ts
+++ b/box/_make_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the runner of a box's requests: ties it to the queues told of, the budgets and the counters.
+ * Creates the runner of a box's requests with its queue samples, extra-call budgets and metrics.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { RunnerOptions } from "./_runner_options.js";
 import { RequestRunner } from "./request_runner.js";
 
-/** What the runner is tied to. */
+/** Options of {@link makeRunner}. */
 export interface MakeRunnerOptions
   extends Omit<RunnerOptions, "noteQueue" | "creditRequest" | "takeExtraCall" | "extraCallsLeft"> {
   readonly budgets: ExtraCallBudgets;
@@ -17,27 +17,27 @@
 }
 
 /**
- * Makes the runner.
+ * Creates the runner.
  *
- * @param options - What it is tied to.
+ * @param options - Dependencies of the runner.
  * @returns The runner.
  */
 export function makeRunner({ budgets, telemetry, ...options }: MakeRunnerOptions): RequestRunner {
   const { nowMs } = options;
-  const queueLooks = new Map<string, QueueSamples>();
+  const queueSamples = new Map<string, QueueSamples>();
   return new RequestRunner({
     ...options,
     noteQueue: (index, queueMs) => {
-      const looks = addQueueSample(queueLooks.get(index) ?? [], { queueMs, atMs: nowMs() });
-      queueLooks.set(index, looks);
-      return persistentQueueMs(looks);
+      const samples = addQueueSample(queueSamples.get(index) ?? [], { queueMs, atMs: nowMs() });
+      queueSamples.set(index, samples);
+      return persistentQueueMs(samples);
     },
     extraCallsLeft: (service) => budgets.remaining(service),
     creditRequest: (service) => budgets.credit(service),
     takeExtraCall: (service, kind) => {
-      const allowed = budgets.tryTake(service, kind);
-      telemetry.extraCalls.add(allowed ? kind : `${kind} refused`);
-      return allowed;
+      const isAllowed = budgets.tryTake(service, kind);
+      telemetry.extraCalls.add(isAllowed ? kind : `${kind} refused`);
+      return isAllowed;
     },
   });
 }
--- a/box/_relay_requests.ts
+++ b/box/_relay_requests.ts
@@ -1,5 +1,5 @@
 /**
- * Has other boxes ask leafs for one request, and turns what they hand over into events of it.
+ * Relays leaf calls of one request through other boxes and turns their responses into events of the request.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 type RelayEffect = Extract<RequestEffect, { readonly kind: "relay" }>;
 type AskThroughEffect = Extract<RequestEffect, { readonly kind: "askThrough" }>;
 
-/** What the orders of one request need. */
+/** Options of {@link RelayRequests}. */
 export interface RelayRequestsOptions {
   readonly nowMs: () => number;
   readonly calls: LeafCalls;
@@ -28,19 +28,19 @@
   readonly relays: RelayCalls;
   readonly terms: RequestTerms;
   readonly forwarded: ForwardedRequest;
-  /** Finds a box that was chosen for the request. */
+  /** Returns a box that was selected for the request. */
   readonly chosenBox: (box: string) => Member | undefined;
   readonly dispatch: (event: RequestEvent) => void;
-  readonly addNote: (asked: string, what: string) => void;
-  /** Told of each attempt that is under way, and when it has ended. */
+  readonly addNote: (calledId: string, note: string) => void;
+  /** Called when an attempt has started. */
   readonly onOpen: (attemptId: number, call: OpenCall) => void;
   readonly onEnded: (attemptId: number) => void;
 }
 
-const MISSING = failedPartOutcome("failed");
+const MISSING_RESULT = failedPartOutcome("failed");
 
-/** What a lost part says of the leaf that was expected to be asked. */
-const LOST_RESULTS = {
+/** Result recorded for the call to a leaf, by the reason for which its shard's result is missing. */
+const FAILED_CALL_RESULTS = {
   declined: "full",
   refused: "full",
   failed: "failed",
@@ -48,78 +48,83 @@
   blocked: "abandoned",
 } as const;
 
-/** Orders of one request to other boxes. */
+/** Sends the relay requests of one request. */
 export class RelayRequests {
   readonly #options: RelayRequestsOptions;
 
   /**
-   * @param options - What the orders need.
+   * @param options - The request and the dependencies.
    */
   constructor(options: RelayRequestsOptions) {
     this.#options = options;
   }
 
   /**
-   * Has a box ask leafs near it and merge their parts.
+   * Requests the merged result of several shards from a box close to their leafs.
    *
-   * @param effect - Which shards, and how long it may wait.
+   * @param effect - The shards and the time for which the box may wait for them.
    */
-  sendMerged({ attemptId, box, calls, deadlineAtMs, waitLimitMs: patienceMs }: RelayEffect): void {
-    const { onEnded, onOpen, dispatch: take } = this.#options;
-    const notes = this.#noteLeafs(calls);
+  sendMerged({ attemptId, box, calls, deadlineAtMs, waitLimitMs }: RelayEffect): void {
+    const { onEnded, onOpen, dispatch } = this.#options;
+    const recorders = this.#createRecorders(calls);
     const services = calls.map(({ service }) => service);
-    const request = this.#request(deadlineAtMs);
-    const waitMs = Math.ceil(patienceMs);
-    const order: RelayRequest = { kind: "merged", ...request, services, waitLimitMs: waitMs };
-    const open = this.#send(box, order, {
+    const commonFields = this.#commonFields(deadlineAtMs);
+    const waitMs = Math.ceil(waitLimitMs);
+    const relayRequest: RelayRequest = {
+      kind: "merged",
+      ...commonFields,
+      services,
+      waitLimitMs: waitMs,
+    };
+    const open = this.#send(box, relayRequest, {
       onParts: (parts) => {
-        this.#noteParts(box, parts, notes);
-        take({ kind: "partsRelayed", attemptId, parts });
+        this.#recordResults(box, parts, recorders);
+        dispatch({ kind: "partsRelayed", attemptId, parts });
       },
       onEnd: () => {
         onEnded(attemptId);
-        for (const note of notes.values()) {
-          note("failed");
+        for (const record of recorders.values()) {
+          record("failed");
         }
-        take({ kind: "attemptEnded", attemptId, outcome: MISSING });
+        dispatch({ kind: "attemptEnded", attemptId, outcome: MISSING_RESULT });
       },
     });
     onOpen(attemptId, open);
   }
 
   /**
-   * Has a box ask the leafs named, each part by itself.
+   * Requests the separate results of given leafs through a box.
    *
-   * @param effect - Which leafs, and which records are still wanted.
+   * @param effect - The leafs and the top-k threshold of records to return.
    */
-  sendSeparate({ box, calls, minRecord: leastRecord, deadlineAtMs }: AskThroughEffect): void {
-    const { onEnded, onOpen, dispatch: take } = this.#options;
-    const notes = this.#noteLeafs(calls);
-    const waiting = new Map(calls.map(({ service, attemptId }) => [service, attemptId]));
+  sendSeparate({ box, calls, minRecord, deadlineAtMs }: AskThroughEffect): void {
+    const { onEnded, onOpen, dispatch } = this.#options;
+    const recorders = this.#createRecorders(calls);
+    const pending = new Map(calls.map(({ service, attemptId }) => [service, attemptId]));
     const end = (service: string, outcome: AttemptOutcome): void => {
-      const attemptId = waiting.get(service);
+      const attemptId = pending.get(service);
       if (attemptId !== undefined) {
-        waiting.delete(service);
+        pending.delete(service);
         onEnded(attemptId);
-        take({ kind: "attemptEnded", attemptId, outcome });
+        dispatch({ kind: "attemptEnded", attemptId, outcome });
       }
     };
     for (const { leafId } of calls) {
-      this.#options.addNote(leafId, `asked again through ${box}`);
+      this.#options.addNote(leafId, `retried through ${box}`);
     }
-    const named = calls.map(({ service, leafId }) => ({ service, leafId }));
-    const request = this.#request(deadlineAtMs);
-    const order: RelayRequest = {
+    const namedCalls = calls.map(({ service, leafId }) => ({ service, leafId }));
+    const commonFields = this.#commonFields(deadlineAtMs);
+    const relayRequest: RelayRequest = {
       kind: "separate",
-      ...request,
-      calls: named,
-      minRecord: leastRecord,
+      ...commonFields,
+      calls: namedCalls,
+      minRecord,
     };
-    const open = this.#send(box, order, {
+    const open = this.#send(box, relayRequest, {
       onParts: (parts) => {
-        this.#noteParts(box, parts, notes);
-        for (const [service, why] of parts.failed) {
-          end(service, failedPartOutcome(why));
+        this.#recordResults(box, parts, recorders);
+        for (const [service, reason] of parts.failed) {
+          end(service, failedPartOutcome(reason));
         }
         for (const [service, signature] of parts.signatures) {
           const answer = { statusCode: 200, headers: {}, signature, body: parts.records };
@@ -127,11 +132,11 @@
         }
       },
       onEnd: () => {
-        for (const note of notes.values()) {
-          note("failed");
+        for (const record of recorders.values()) {
+          record("failed");
         }
-        for (const service of [...waiting.keys()]) {
-          end(service, MISSING);
+        for (const service of [...pending.keys()]) {
+          end(service, MISSING_RESULT);
         }
       },
     });
@@ -140,7 +145,7 @@
     }
   }
 
-  #request(deadlineAtMs: number) {
+  #commonFields(deadlineAtMs: number) {
     const { forwarded, nowMs, terms } = this.#options;
     const { method, path, headers } = forwarded;
     const { target } = terms.route;
@@ -151,7 +156,7 @@
 
   #send(
     box: string,
-    order: RelayRequest,
+    relayRequest: RelayRequest,
     listener: { onParts(parts: RelayedParts): void; onEnd(): void },
   ): OpenCall {
     const member = this.#options.chosenBox(box);
@@ -159,47 +164,47 @@
       queueMicrotask(() => listener.onEnd());
       return { abandon: () => undefined, withdraw: () => undefined };
     }
-    return this.#options.relays.send(member, order, listener);
+    return this.#options.relays.send(member, relayRequest, listener);
   }
 
-  #noteLeafs(
+  #createRecorders(
     calls: ReadonlyArray<{ readonly service: string; readonly leafId: string }>,
-  ): LeafNotes {
+  ): CallRecorders {
     return new Map(
       calls.map(({ service, leafId }) => [service, this.#options.calls.noteRelayed(leafId)]),
     );
   }
 
-  /** What the parts say of the query, before it is decided what is asked next. */
-  #noteForQuery({ signatures, failed: lost }: RelayedParts): void {
+  /** Reports the results to the quarantine; called before the request decides on further calls. */
+  #reportToQuarantine({ signatures, failed }: RelayedParts): void {
     const { quarantine, forwarded } = this.#options;
     const { fingerprint } = forwarded;
     if (signatures.size > 0) {
       quarantine.recordAnswer(fingerprint);
     }
-    for (const why of lost.values()) {
-      if (why === "connection lost") {
+    for (const reason of failed.values()) {
+      if (reason === "connection lost") {
         quarantine.recordCrash({ fingerprint, isTrial: false });
-      } else if (why === "blocked") {
+      } else if (reason === "blocked") {
         quarantine.applyRemoteBlock(fingerprint);
       }
     }
   }
 
-  #noteParts(box: string, parts: RelayedParts, notes: LeafNotes): void {
+  #recordResults(box: string, parts: RelayedParts, recorders: CallRecorders): void {
     for (const service of parts.signatures.keys()) {
-      notes.get(service)?.("answered");
+      recorders.get(service)?.("answered");
     }
-    for (const [service, why] of parts.failed) {
-      notes.get(service)?.(LOST_RESULTS[why]);
+    for (const [service, reason] of parts.failed) {
+      recorders.get(service)?.(FAILED_CALL_RESULTS[reason]);
     }
-    this.#noteForQuery(parts);
+    this.#reportToQuarantine(parts);
     const reasons = [...parts.failed.values()];
-    for (const why of new Set(reasons)) {
-      this.#options.addNote(box, `${why} ${reasons.filter((each) => each === why).length}`);
+    for (const reason of new Set(reasons)) {
+      this.#options.addNote(box, `${reason} ${reasons.filter((each) => each === reason).length}`);
     }
   }
 }
 
-/** Notes how the call to the leaf of a service ended. */
-type LeafNotes = ReadonlyMap<string, ReturnType<LeafCalls["noteRelayed"]>>;
+/** Functions by service that record how the call to its leaf ended. */
+type CallRecorders = ReadonlyMap<string, ReturnType<LeafCalls["noteRelayed"]>>;
--- a/box/_run_environment.ts
+++ b/box/_run_context.ts
@@ -1,5 +1,5 @@
 /**
- * What one request may ask of its box while it is decided: leafs, boxes, extra calls.
+ * The state of the box that the decisions of one request read: leafs, boxes, quarantine and extra calls.
  *
  * @module
  */
@@ -12,71 +12,71 @@
 import type { RouteKey } from "../routing/mod.js";
 import type { RunnerOptions } from "./_runner_options.js";
 
-/** The request that decides. */
-export interface RunEnvironmentOptions {
-  /** The same for all requests that ask for the same thing. */
+/** The request for which decisions are made. */
+export interface RunContextOptions {
+  /** Hash of the request's content, equal for identical queries. */
   readonly fingerprint: string;
-  /** Host and path by which its route is found. */
+  /** Host and path from which the route is determined. */
   readonly routeKey: RouteKey;
-  /** Time within which its answer is worth most, in milliseconds. */
+  /** Latency objective, in milliseconds. */
   readonly objectiveMs: number;
-  /** How the request's policy places calls. */
+  /** Placement of calls that the policy selected. */
   readonly placement: Placement;
 }
 
-/** Shards kept from their leafs that a request's log line names at most. */
-const MOST_BARRED = 20;
+/** Maximum number of blocked shards in a request's log line. */
+const MAX_BLOCKED_SHARDS = 20;
 
-/** The box as one request sees it. */
-export class RunEnvironment implements RequestContext {
-  /** Moment of the event that is being taken. */
+/** State of the box as seen by one request. */
+export class RunContext implements RequestContext {
+  /** Time of the event being processed, in milliseconds. */
   nowMs = 0;
   eventLoopIdleMs = 0;
-  /** Shards that no leaf could be asked for, by service, and what kept their leafs from it. */
+  /** Reasons why no leaf of a shard could be called, by service. */
   readonly blockedShards = new Map<string, string>();
   readonly #box: RunnerOptions;
   readonly #placement: Placement;
   readonly #fingerprint: string;
   readonly #objectiveMs: number;
   readonly #chosenBoxes = new Map<string, Member>();
-  readonly #condition: LeafChoiceContext["health"];
+  readonly #health: LeafChoiceContext["health"];
   readonly #distance: LeafChoiceContext["distance"];
-  readonly #toldQueueMs: (leaf: Leaf) => number;
-  readonly #mayAsk: (leaf: Leaf) => boolean;
+  readonly #reportedQueueMs: (leaf: Leaf) => number;
+  readonly #mayCall: (leaf: Leaf) => boolean;
   readonly #isCold: (leafId: string) => boolean;
-  /** What kept leafs from being asked since the last choice began. */
-  #barriers: ReadonlyArray<BlockReason> = [];
-  /** Waits at the leafs of each place as told when this request first asked. */
+  /** Reasons found in the current selection why leafs may not be called. */
+  #blockReasons: ReadonlyArray<BlockReason> = [];
+  /** Queue time at the leafs of each place, in milliseconds, cached on first use so that it stays constant. */
   readonly #queuesMs = new Map<string, number>();
 
   /**
-   * @param box - What the runner has of its box.
+   * @param box - Dependencies that the box provides.
    * @param options - The request.
    */
-  constructor(box: RunnerOptions, options: RunEnvironmentOptions) {
+  constructor(box: RunnerOptions, options: RunContextOptions) {
     const { fingerprint, objectiveMs, placement, routeKey } = options;
     this.#box = box;
     this.#fingerprint = fingerprint;
     this.#placement = placement;
     this.#objectiveMs = objectiveMs;
-    this.#condition = (leafId) => box.calls.health(leafId);
+    this.#health = (leafId) => box.calls.health(leafId);
     this.#distance = (leaf) => box.places.distance(leaf);
-    this.#toldQueueMs = (leaf) => this.#queueAt(box.places.placeOf(leaf));
+    this.#reportedQueueMs = (leaf) => this.#queueMsAt(box.places.placeOf(leaf));
     this.#isCold = (leafId) => box.access.isCold(leafId);
-    this.#mayAsk = (leaf) => {
-      const barrier = box.access.blockReasonForLeaf(leaf, routeKey);
-      if (barrier !== undefined) {
-        this.#barriers = [...this.#barriers, barrier];
+    this.#mayCall = (leaf) => {
+      const blockReason = box.access.blockReasonForLeaf(leaf, routeKey);
+      if (blockReason !== undefined) {
+        this.#blockReasons = [...this.#blockReasons, blockReason];
       }
-      return barrier === undefined;
+      return blockReason === undefined;
     };
   }
 
   /**
-   * Finds a box that was chosen before.
+   * Returns a box that was selected before.
    *
-   * @param box - Its name.
-   * @returns The box, or nothing where it was not chosen.
+   * @param box - Name of the box.
+   * @returns The box, or `undefined` if it was not selected.
    */
   chosenBox(box: string): Member | undefined {
     return this.#chosenBoxes.get(box);
@@ -84,31 +84,31 @@
 
   chooseLeaf(service: string, excluded: ReadonlySet<string>): LeafChoice | undefined {
     const { leafs, places } = this.#box;
-    this.#barriers = [];
+    this.#blockReasons = [];
     const chosen = chooseLeaf(leafs().byService.get(service) ?? [], {
       nowMs: this.nowMs,
       eventLoopIdleMs: this.eventLoopIdleMs,
-      health: this.#condition,
+      health: this.#health,
       distance: this.#distance,
       excluded,
-      isCallable: this.#mayAsk,
+      isCallable: this.#mayCall,
       isCold: this.#isCold,
       objectiveMs: this.#objectiveMs,
-      reportedQueueMs: this.#toldQueueMs,
+      reportedQueueMs: this.#reportedQueueMs,
       placement: this.#placement,
     });
     if (chosen === undefined) {
-      this.#noteBarred(service);
+      this.#recordBlocked(service);
       return undefined;
     }
-    const { leaf, failureRate: lossShare, queueMs, typicalLatencyMs: usualMs } = chosen;
+    const { leaf, failureRate, queueMs, typicalLatencyMs } = chosen;
     const relayPlace = places.placeOf(leaf);
     return {
       leafId: leaf.leafId,
-      expectedMs: usualMs,
+      expectedMs: typicalLatencyMs,
       relayPlace,
       queueMs,
-      failureRate: lossShare,
+      failureRate,
     };
   }
 
@@ -118,19 +118,19 @@
     if (chosen === undefined) {
       return undefined;
     }
-    const { member, typicalLatencyMs: usualMs } = chosen;
+    const { member, typicalLatencyMs } = chosen;
     this.#chosenBoxes.set(member.memberId, member);
-    return { box: member.memberId, expectedMs: usualMs };
+    return { box: member.memberId, expectedMs: typicalLatencyMs };
   }
 
-  #noteBarred(service: string): void {
-    if (this.#barriers.length > 0 && this.blockedShards.size < MOST_BARRED) {
-      const reasons = new Set(this.#barriers.map(describeBlockReason));
+  #recordBlocked(service: string): void {
+    if (this.#blockReasons.length > 0 && this.blockedShards.size < MAX_BLOCKED_SHARDS) {
+      const reasons = new Set(this.#blockReasons.map(describeBlockReason));
       this.blockedShards.set(service, [...reasons].join("; "));
     }
   }
 
-  #queueAt(place: string | undefined): number {
+  #queueMsAt(place: string | undefined): number {
     if (place === undefined) {
       return 0;
     }
--- a/box/_runner_options.ts
+++ b/box/_runner_options.ts
@@ -1,5 +1,5 @@
 /**
- * What running requests takes from the box.
+ * Dependencies that a box provides to running requests.
  *
  * @module
  */
@@ -13,24 +13,24 @@
 import type { RelayCalls } from "../relay/mod.js";
 import type { RouteKey } from "../routing/mod.js";
 
-/** A request as it is handed to leafs. */
+/** A request as it is forwarded to leafs. */
 export interface ForwardedRequest {
   readonly method: string;
-  /** Path with its query, exactly as the caller sent it. */
+  /** Path with query string, exactly as received from the caller. */
   readonly path: string;
-  /** Headers that are passed on, names and values by turns. */
+  /** Forwarded headers as alternating names and values. */
   readonly headers: ReadonlyArray<string>;
   readonly body: Buffer | undefined;
-  /** Host and path by which its route is found. */
+  /** Host and path from which the route is determined. */
   readonly routeKey: RouteKey;
-  /** The same for all requests that ask for the same thing. */
+  /** Hash of the request's content, equal for identical queries. */
   readonly fingerprint: string;
 }
 
-/** What the runner needs of its box. */
+/** Dependencies of the runner. */
 export interface RunnerOptions {
   readonly nowMs: () => number;
-  /** Stands still while this box is busy. */
+  /** Returns the idle time of this process's event loop, in milliseconds: a clock that stops while it is busy. */
   readonly eventLoopIdleMs: () => number;
   readonly calls: LeafCalls;
   readonly leafs: () => LeafTable;
@@ -38,10 +38,10 @@
   readonly relays: RelayCalls;
   readonly quarantine: Quarantine;
   readonly access: LeafAccess;
-  /** Notes the wait at an index's leafs; tells the one that all the latest looks have found. */
+  /** Records the queue time at an index's leafs; returns the minimum of the latest samples. All in milliseconds. */
   readonly noteQueue: (index: string, queueMs: number) => number;
   readonly creditRequest: (service: string) => void;
   readonly takeExtraCall: (service: string, kind: ExtraCallKind) => boolean;
-  /** Tells how many extra calls the service's budget allows now. */
+  /** Returns the number of extra calls that the service's budget currently allows. */
   readonly extraCallsLeft: (service: string) => number;
 }
--- a/box/adaptive_timer.ts
+++ b/box/adaptive_timer.ts
@@ -1,59 +1,59 @@
 /**
- * A timer that runs often while there is something to look after, and seldom else. Most boxes of a large
- * fleet stand by: each wake-up of theirs costs processor time and brings nothing.
+ * A periodic timer with a short interval while there is work and a long one otherwise, so that standby boxes
+ * rarely wake up.
  *
  * @module
  */
 
-/** How the timer runs. */
+/** Options of {@link AdaptiveTimer}. */
 export interface AdaptiveTimerOptions {
-  /** Time between two runs while there is something to look after, in milliseconds. */
+  /** Interval while there is work, in milliseconds. */
   readonly busyIntervalMs: number;
-  /** Time between two runs else, in milliseconds. */
+  /** Interval otherwise, in milliseconds. */
   readonly idleIntervalMs: number;
-  /** Tells after each run whether there is still something to look after. */
+  /** Returns whether there is still work; called after each run. */
   readonly isBusy: () => boolean;
   readonly run: () => void;
 }
 
-/** A timer whose pace follows what there is to do. */
+/** A periodic timer whose interval depends on whether there is work. */
 export class AdaptiveTimer {
   readonly #options: AdaptiveTimerOptions;
   #timer: NodeJS.Timeout | undefined;
-  #isSlow = false;
+  #isIdle = false;
 
   /**
-   * @param options - How the timer runs.
+   * @param options - Intervals and callbacks.
    */
   constructor(options: AdaptiveTimerOptions) {
     this.#options = options;
   }
 
-  /** Begins at the quick pace. */
+  /** Starts the timer with the short interval. */
   start(): void {
-    this.#wait(this.#options.busyIntervalMs);
+    this.#schedule(this.#options.busyIntervalMs);
   }
 
-  /** Says that there is something to look after, so that the next run is not at the slow pace. */
+  /** Switches to the short interval because there is work; no effect if that interval is already active. */
   wake(): void {
-    if (this.#isSlow) {
+    if (this.#isIdle) {
       clearTimeout(this.#timer);
-      this.#wait(this.#options.busyIntervalMs);
+      this.#schedule(this.#options.busyIntervalMs);
     }
   }
 
-  /** Ends the timer. */
+  /** Stops the timer. */
   stop(): void {
     clearTimeout(this.#timer);
-    this.#isSlow = false;
+    this.#isIdle = false;
   }
 
-  #wait(delayMs: number): void {
-    const { busyIntervalMs: busyMs, idleIntervalMs: idleMs, isBusy, run } = this.#options;
-    this.#isSlow = delayMs !== busyMs;
+  #schedule(delayMs: number): void {
+    const { busyIntervalMs, idleIntervalMs, isBusy, run } = this.#options;
+    this.#isIdle = delayMs !== busyIntervalMs;
     this.#timer = setTimeout(() => {
       run();
-      this.#wait(isBusy() ? busyMs : idleMs);
+      this.#schedule(isBusy() ? busyIntervalMs : idleIntervalMs);
     }, delayMs);
   }
 }
--- a/box/adaptive_timer_test.ts
+++ b/box/adaptive_timer_test.ts
@@ -23,7 +23,7 @@
   timer.stop();
 });
 
-t.test("hurry() ends the slow wait, once", async (t) => {
+t.test("wake() ends the idle interval, once", async (t) => {
   const { timer, runs } = makeTimer({ isBusy: () => false });
   await pause(100);
   timer.wake();
@@ -33,7 +33,7 @@
   timer.stop();
 });
 
-t.test("a busy timer goes on at the quick pace, however often it is hurried", async (t) => {
+t.test("a busy timer keeps its interval, however often wake() is called", async (t) => {
   const { timer, runs } = makeTimer({ isBusy: () => true });
   for (let round = 0; round < 20; round++) {
     timer.wake();
--- a/box/auxiliary_servers.ts
+++ b/box/auxiliary_servers.ts
@@ -1,5 +1,5 @@
 /**
- * The servers beside the one for requests: readiness, directory, other boxes, metrics.
+ * HTTP servers of a box other than the one for callers' requests: readiness, directory, peers and metrics.
  *
  * @module
  */
@@ -22,58 +22,58 @@
 import { handleRelayRequest, RELAY_PATH, type RelayServerOptions } from "../relay/mod.js";
 import { type BoxReport, CLEAR_QUERY_PATH, REPORT_PATH } from "./box_report.js";
 
-/** Where metrics are served. */
+/** Port and path at which metrics are served. */
 export interface MetricsEndpoint {
   readonly port: number;
   readonly path: string;
 }
 
-/** A server and the port that it is to listen on. */
+/** A server and the port on which it is to listen. */
 export interface ServerAtPort {
   readonly server: Server;
   readonly port: number;
 }
 
-/** What the servers answer from. */
+/** Options of {@link createAuxiliaryServers}. */
 export interface AuxiliaryServersOptions {
   readonly settings: Pick<BoxSettings, "readiness" | "directory" | "peers">;
-  /** Tells whether this box can be given work. */
+  /** Returns whether this box is ready for requests. */
   readonly isReady: () => boolean;
-  /** Tells which addresses a caller is to use. */
+  /** Returns the addresses that a caller is to use. */
   readonly resolveAddresses: (question: ResolveRequest) => ReadonlyArray<SocketAddress>;
-  /** Tells how long callers may keep that, in milliseconds. */
+  /** Returns the time to live of the address list, in milliseconds. */
   readonly ttlMs: () => number;
-  /** Gives what a peer that is behind may take over. */
+  /** Returns the state that a peer with the given progress lacks. */
   readonly stateSince: (progress: SyncProgress) => SharedState;
-  /** Gives what this box tells operators of itself. */
+  /** Returns the report for operators. */
   readonly report: () => BoxReport;
-  /** Clears a query under which leafs were lost; tells whether there was anything to clear. */
+  /** Clears a crash-inducing query; returns whether there was anything to clear. */
   readonly clearQuery: (fingerprint: string) => boolean;
-  /** What orders of other boxes are answered from. */
+  /** Options for answering relay requests of other boxes. */
   readonly relay: RelayServerOptions;
   readonly metrics: MetricsEndpoint | undefined;
   readonly metricsText: () => Promise<string>;
 }
 
 /**
- * Makes the servers; none is listening yet.
+ * Creates the servers; none is listening yet.
  *
- * @param options - What they answer from.
- * @returns Each with its port.
+ * @param options - Settings and callbacks that provide the responses.
+ * @returns The servers with their ports.
  */
 export function createAuxiliaryServers(
   options: AuxiliaryServersOptions,
 ): ReadonlyArray<ServerAtPort> {
   const { settings, metrics } = options;
-  const answers: ReadonlyArray<{ readonly port: number; readonly answer: RequestListener }> = [
-    { port: settings.readiness.port, answer: answerReadiness(options) },
-    { port: settings.directory.port, answer: answerDirectory(options) },
-    { port: settings.peers.port, answer: answerPeer(options) },
+  const handlers: ReadonlyArray<{ readonly port: number; readonly handler: RequestListener }> = [
+    { port: settings.readiness.port, handler: answerReadiness(options) },
+    { port: settings.directory.port, handler: answerDirectory(options) },
+    { port: settings.peers.port, handler: answerPeer(options) },
     ...(metrics === undefined
       ? []
-      : [{ port: metrics.port, answer: answerMetrics(options, metrics.path) }]),
+      : [{ port: metrics.port, handler: answerMetrics(options, metrics.path) }]),
   ];
-  return answers.map(({ port, answer }) => ({ port, server: createServer(answer) }));
+  return handlers.map(({ port, handler }) => ({ port, server: createServer(handler) }));
 }
 
 function answerReadiness({ isReady }: AuxiliaryServersOptions): RequestListener {
@@ -84,10 +84,7 @@
   };
 }
 
-function answerDirectory({
-  resolveAddresses: advise,
-  ttlMs: keepMs,
-}: AuxiliaryServersOptions): RequestListener {
+function answerDirectory({ resolveAddresses, ttlMs }: AuxiliaryServersOptions): RequestListener {
   return (request, response) => {
     const question = decodeResolveRequest(request.url ?? "/");
     if (question === undefined) {
@@ -95,15 +92,15 @@
       return;
     }
     response.setHeader("Content-Type", "application/json");
-    writeText(response, 200, encodeAddressList(advise(question), { keepMs: keepMs() }));
+    writeText(response, 200, encodeAddressList(resolveAddresses(question), { keepMs: ttlMs() }));
   };
 }
 
 function answerPeer({
-  clearQuery: lift,
+  clearQuery,
   relay,
   report,
-  stateSince: share,
+  stateSince,
 }: AuxiliaryServersOptions): RequestListener {
   return (request, response) => {
     if (request.url === RELAY_PATH) {
@@ -115,11 +112,11 @@
       response.setHeader("Content-Type", "application/json");
       writeText(response, 200, JSON.stringify(report()));
     } else if (url.startsWith(CLEAR_QUERY_PATH) && request.method === "POST") {
-      const isLifted = lift(url.slice(CLEAR_QUERY_PATH.length));
+      const isLifted = clearQuery(url.slice(CLEAR_QUERY_PATH.length));
       response.setHeader("Content-Type", "application/json");
       writeText(response, isLifted ? 200 : 404, JSON.stringify({ isLifted }));
     } else if (url.startsWith(CLUSTER_STATE_PATH)) {
-      response.end(encodeSharedState(share(decodeClusterStateUrl(url))));
+      response.end(encodeSharedState(stateSince(decodeClusterStateUrl(url))));
     } else {
       writeText(response, 404, "");
     }
--- a/box/box_lifecycle.ts
+++ b/box/box_lifecycle.ts
@@ -1,6 +1,6 @@
 /**
- * The life of a box from its start to the end of a planned stop: no longer advised, serves on, finishes
- * what it took, ends.
+ * The lifecycle of a box. During a planned stop it is removed from address lists first, keeps serving until
+ * cached lists have expired, completes open requests and exits.
  *
  * @module
  */
@@ -13,92 +13,92 @@
 } from "../lifecycle/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
-/** Time before the end of the stop's grace at which new requests are no longer taken, in milliseconds. */
+/** Time before the end of the stop's grace period from which no new requests are accepted, in milliseconds. */
 const FINISH_MS = 1_500;
 
-/** Time before the end of the stop's grace at which the process ends in any case, in milliseconds. */
+/** Time before the end of the stop's grace period at which the process exits in any case, in milliseconds. */
 const EXIT_MS = 250;
 
-/** Time between two looks whether all requests have their answers, in milliseconds. */
-const LOOK_EVERY_MS = 50;
+/** Interval of checks whether all requests have been answered, in milliseconds. */
+const CHECK_INTERVAL_MS = 50;
 
-/** What a box does as its life goes on. */
+/** Options of {@link BoxLifecycle}. */
 export interface BoxLifecycleOptions {
   readonly telemetry: Pick<BoxTelemetry, "event">;
-  /** Requests that have no answer yet. */
+  /** Returns the number of unanswered requests. */
   readonly runningCount: () => number;
-  /** Called when the box is no longer to be advised. */
+  /** Called when the box is to be removed from address lists. */
   readonly onLeaving: () => void;
-  /** Called when callers' advice has run out, so that no new requests need be taken. */
+  /** Called when callers' cached address lists have expired, so that no new requests need to be accepted. */
   readonly onFinishing: () => void;
-  /** Called once when all is done. */
+  /** Called once when the stop is complete. */
   readonly onEnd: () => void;
 }
 
-/** The life of one box. */
+/** The lifecycle of one box. */
 export class BoxLifecycle {
   readonly #options: BoxLifecycleOptions;
   #lifecycle: Lifecycle = INITIAL_LIFECYCLE;
-  #stopping = false;
+  #isStopping = false;
 
   /**
-   * @param options - What the box does as its life goes on.
+   * @param options - Callbacks for each phase.
    */
   constructor(options: BoxLifecycleOptions) {
     this.#options = options;
   }
 
-  /** Where the box is in its life. */
+  /** Current phase. */
   get phase(): ReturnType<typeof lifecyclePhase> {
     return lifecyclePhase(this.#lifecycle);
   }
 
   /** Whether a planned stop has begun. */
   get isStopping(): boolean {
-    return this.#stopping;
+    return this.#isStopping;
   }
 
-  /** Says that all that is needed to serve is known. */
+  /** Marks that everything needed to serve requests is known. */
   markConfigured(): void {
-    this.#move("configured");
+    this.#transition("configured");
   }
 
   /**
-   * Begins a planned stop; once begun, it is not begun again.
+   * Begins a planned stop; no effect if one has already begun.
    *
    * @param graceMs - Time until the process is killed, in milliseconds.
    */
   stop(graceMs: number): void {
-    if (this.#stopping) {
+    if (this.#isStopping) {
       return;
     }
-    this.#stopping = true;
-    this.#move("stopRequested");
+    this.#isStopping = true;
+    this.#transition("stopRequested");
     this.#options.onLeaving();
     setTimeout(() => this.#finish(), graceMs - FINISH_MS);
     setTimeout(() => this.#end(), graceMs - EXIT_MS);
   }
 
   #finish(): void {
-    this.#move("adviceExpired");
+    this.#transition("adviceExpired");
     this.#options.onFinishing();
     const timer = setInterval(() => {
       if (this.#options.runningCount() === 0) {
         clearInterval(timer);
         this.#end();
       }
-    }, LOOK_EVERY_MS);
+    }, CHECK_INTERVAL_MS);
   }
 
   #end(): void {
     if (this.phase === "stopped") {
       return;
     }
-    this.#move("drained");
+    this.#transition("drained");
     this.#options.onEnd();
   }
 
-  #move(event: LifecycleEvent["type"]): void {
+  #transition(event: LifecycleEvent["type"]): void {
     this.#lifecycle = transitionLifecycle(this.#lifecycle, event);
     this.#options.telemetry.event("info", "box: phase", { phase: this.phase, event });
   }
--- a/box/box_report.ts
+++ b/box/box_report.ts
@@ -1,6 +1,5 @@
 /**
- * What a box tells operators of itself: what is in force on it and since when, the leafs that it
- * believes in and why, what is left of its budgets.
+ * The report of a box for operators: active configuration, known leafs with their status, remaining budgets.
  *
  * @module
  */
@@ -10,38 +9,38 @@
 import type { Member, MemberState } from "../model/mod.js";
 import { type CrashRecord, type ReportedCrashes, toReportedCrashes } from "../quarantine/mod.js";
 
-/** Path at which a box tells it, on its peers' port. */
+/** Path of the report on the peer port. */
 export const REPORT_PATH = "/peer/v1/report";
 
-/** Path by which operators clear a query under which leafs were lost; its fingerprint stands behind it. */
+/** Path prefix for clearing a crash-inducing query; the query's fingerprint follows. */
 export const CLEAR_QUERY_PATH = "/peer/v1/lift/";
 
-/** How a leaf is seen by a box. */
+/** Status of a leaf as seen by a box. */
 export type LeafStatus = "ready" | "warming up" | "evacuated" | "draining" | "lapsed" | "gone";
 
-/** One leaf as a box believes in it. */
+/** One leaf as seen by a box. */
 export interface LeafReport {
   readonly leafId: string;
   readonly service: string;
   readonly dataCentre: string;
   readonly standing: LeafStatus;
-  /** Mean time of its answers, in milliseconds; 0 before the first. */
+  /** Mean response time, in milliseconds; 0 before the first response. */
   readonly meanMs: number;
   readonly openCalls: number;
   readonly failuresInRow: number;
-  /** Time for which it is still asked only where no other is left, in milliseconds. */
+  /** Remaining time during which it is called only if no other leaf is available, in milliseconds. */
   readonly avoidedForMs: number;
 }
 
-/** The configuration in force on a box. */
+/** The active configuration of a box. */
 export interface ConfigurationReport {
   readonly version: number;
   readonly source: "store" | "peer";
-  /** Time for which it has been in force, in milliseconds. */
+  /** Time since it became active, in milliseconds. */
   readonly inForceForMs: number;
 }
 
-/** Another box as this one knows it. */
+/** A box as seen by the reporting box. */
 export interface MemberReport {
   readonly box: string;
   readonly dataCentre: string;
@@ -50,34 +49,34 @@
   readonly peerPort: number;
 }
 
-/** What a box tells of itself. */
+/** The report of a box. */
 export interface BoxReport {
   readonly box: string;
   readonly phase: string;
-  /** Nothing before the first configuration. */
+  /** Missing before the first configuration. */
   readonly configuration?: ConfigurationReport | undefined;
   readonly leafsRevision: number;
-  /** Whether it watches the store itself. */
+  /** Whether the box watches the store itself. */
   readonly isWatcher: boolean;
   readonly isStoreReachable: boolean;
-  /** Time since it last heard news of the store, in milliseconds. */
+  /** Time since the last update of the store's state, in milliseconds. */
   readonly knownAgoMs: number;
   readonly running: number;
   readonly members: ReadonlyArray<MemberReport>;
   readonly leafs: ReadonlyArray<LeafReport>;
-  /** Extra calls that each service's budget allows at this moment. */
+  /** Number of extra calls that each service's budget currently allows. */
   readonly extraCallsLeft: Readonly<Record<string, number>>;
-  /** Data centres to whose leafs nothing more is sent. */
+  /** Evacuated data centres, whose leafs receive no calls. */
   readonly evacuated: ReadonlyArray<string>;
-  /** Queries under which leafs were lost, the latest change last. */
+  /** Crash-inducing queries, the latest change last. */
   readonly queries: ReadonlyArray<ReportedCrashes>;
 }
 
-/** What a report is made from. */
+/** Input of {@link buildBoxReport}. */
 export interface BoxReportInput {
   readonly box: string;
   readonly phase: string;
-  readonly knowledge: Pick<
+  readonly clusterState: Pick<
     ClusterState,
     | "activeConfiguration"
     | "evacuated"
@@ -88,7 +87,7 @@
     | "leafsRevision"
   >;
   readonly isCold: (leafId: string) => boolean;
-  readonly condition: (leafId: string) => LeafHealth | undefined;
+  readonly healthOf: (leafId: string) => LeafHealth | undefined;
   readonly runningCount: number;
   readonly members: ReadonlyArray<Member>;
   readonly extraCallsLeft: ReadonlyMap<string, number>;
@@ -97,79 +96,74 @@
 }
 
 /**
- * Makes a box's report.
+ * Builds the report of a box.
  *
- * @param reported - What the box knows.
+ * @param input - State of the box.
  * @returns The report.
  */
-export function buildBoxReport(reported: BoxReportInput): BoxReport {
-  const { box, crashRecords, extraCallsLeft, knowledge, members, nowMs, phase, runningCount } =
-    reported;
-  const {
-    activeConfiguration: adopted,
-    isStoreReachable,
-    lastUpdateAtMs: heardAtMs,
-    isWatcher,
-    leafsRevision,
-  } = knowledge;
-  const configuration = adopted && {
-    version: adopted.version,
-    source: adopted.source,
-    inForceForMs: Math.round(nowMs - adopted.atMs),
+export function buildBoxReport(input: BoxReportInput): BoxReport {
+  const { box, crashRecords, extraCallsLeft, clusterState, members, nowMs, phase, runningCount } =
+    input;
+  const { activeConfiguration, isStoreReachable, lastUpdateAtMs, isWatcher, leafsRevision } =
+    clusterState;
+  const configuration = activeConfiguration && {
+    version: activeConfiguration.version,
+    source: activeConfiguration.source,
+    inForceForMs: Math.round(nowMs - activeConfiguration.atMs),
   };
   return {
     ...{ box, phase, configuration, leafsRevision, isWatcher, isStoreReachable },
-    knownAgoMs: Math.round(nowMs - heardAtMs),
+    knownAgoMs: Math.round(nowMs - lastUpdateAtMs),
     running: runningCount,
-    members: members.map(reportMember),
-    leafs: reportLeafs(reported),
+    members: members.map(toMemberReport),
+    leafs: toLeafReports(input),
     extraCallsLeft: Object.fromEntries(extraCallsLeft),
-    evacuated: [...knowledge.evacuated].toSorted(),
+    evacuated: [...clusterState.evacuated].toSorted(),
     queries: crashRecords.map((record) => toReportedCrashes(record, nowMs)),
   };
 }
 
-function reportMember({ box, dataCentre, state, address, peerPort }: Member): MemberReport {
+function toMemberReport({ box, dataCentre, state, address, peerPort }: Member): MemberReport {
   return { box, dataCentre, state, address, peerPort };
 }
 
-function reportLeafs(reported: BoxReportInput): ReadonlyArray<LeafReport> {
-  return [...reported.knowledge.leafs.byId.values()]
-    .map((leaf) => reportLeaf(leaf, reported))
+function toLeafReports(input: BoxReportInput): ReadonlyArray<LeafReport> {
+  return [...input.clusterState.leafs.byId.values()]
+    .map((leaf) => toLeafReport(leaf, input))
     .toSorted((a, b) => (`${a.service} ${a.leafId}` < `${b.service} ${b.leafId}` ? -1 : 1));
 }
 
-function reportLeaf(leaf: Leaf, reported: BoxReportInput): LeafReport {
-  const { condition, nowMs } = reported;
+function toLeafReport(leaf: Leaf, input: BoxReportInput): LeafReport {
+  const { healthOf, nowMs } = input;
   const { leafId, service, dataCentre } = leaf;
-  const seen = condition(leafId);
+  const health = healthOf(leafId);
   return {
     leafId,
     service,
     dataCentre,
-    standing: standingOf(leaf, reported, seen),
-    meanMs: Math.round(seen?.meanMs ?? 0),
-    openCalls: seen?.openCalls.length ?? 0,
-    failuresInRow: seen?.consecutiveFailures ?? 0,
-    avoidedForMs: Math.max(0, Math.round((seen?.avoidUntilMs ?? 0) - nowMs)),
+    standing: statusOf(leaf, input, health),
+    meanMs: Math.round(health?.meanMs ?? 0),
+    openCalls: health?.openCalls.length ?? 0,
+    failuresInRow: health?.consecutiveFailures ?? 0,
+    avoidedForMs: Math.max(0, Math.round((health?.avoidUntilMs ?? 0) - nowMs)),
   };
 }
 
-function standingOf(
+function statusOf(
   { dataCentre, draining, leafId }: Leaf,
-  { isCold, knowledge }: Pick<BoxReportInput, "isCold" | "knowledge">,
-  condition: LeafHealth | undefined,
+  { isCold, clusterState }: Pick<BoxReportInput, "isCold" | "clusterState">,
+  health: LeafHealth | undefined,
 ): LeafStatus {
-  if (condition?.terminated === true) {
+  if (health?.terminated === true) {
     return "gone";
   }
   if (draining) {
     return "draining";
   }
-  if (knowledge.leafs.expiresAtMs.has(leafId)) {
+  if (clusterState.leafs.expiresAtMs.has(leafId)) {
     return "lapsed";
   }
-  if (knowledge.evacuated.has(dataCentre)) {
+  if (clusterState.evacuated.has(dataCentre)) {
     return "evacuated";
   }
   return isCold(leafId) ? "warming up" : "ready";
--- a/box/box_shell.ts
+++ b/box/box_shell.ts
@@ -1,5 +1,5 @@
 /**
- * One box: takes callers' requests, asks leafs, and keeps up with the store and the other boxes.
+ * One box: answers callers' requests by calling leafs, and follows the state of the store and the other boxes.
  *
  * @module
  */
@@ -33,25 +33,22 @@
 import type { CompiledPolicies } from "./route_policies.js";
 import { handleTimeJump } from "./time_jump.js";
 
-/** Time between two looks at what is overdue while calls are open or boxes change, in milliseconds. */
-const TIDY_EVERY_MS = 200;
+/** Interval of checks for overdue calls and expired state while the box is active, in milliseconds. */
+const CLEANUP_INTERVAL_MS = 200;
 
-/**
- * The same on a box that stands by, where nothing can be overdue: of its 18 wake-ups a second 5 were for
- * looks that found nothing.
- */
-const TIDY_IDLE_EVERY_MS = 1_000;
+/** The same interval on a standby box, in milliseconds. */
+const STANDBY_CLEANUP_INTERVAL_MS = 1_000;
 
-/** Bodies taken before a configuration sets the limit, in bytes. */
+/** Maximum size of request bodies until a configuration sets the limit, in bytes. */
 const DEFAULT_MAX_BODY_BYTES = 262_144;
 
-/** What a box is started with. */
+/** Options of {@link Box}. */
 export interface BoxOptions {
   readonly settings: BoxSettings;
   readonly telemetry: BoxTelemetry;
-  /** Operators' policy programs; nothing where the routes' own terms decide alone. */
+  /** Operators' policy programs; `undefined` if only the routes' own settings apply. */
   readonly policies: CompiledPolicies | undefined;
-  /** Where metrics are served; nothing for nowhere. */
+  /** Where metrics are served; `undefined` to serve none. */
   readonly metrics: MetricsEndpoint | undefined;
   /** Called when a planned stop is complete. */
   readonly onEnd: () => void;
@@ -63,13 +60,13 @@
   readonly #telemetry: BoxTelemetry;
   readonly #onEnd: () => void;
   readonly #store: StoreClient;
-  readonly #knowledge: ClusterState;
+  readonly #clusterState: ClusterState;
   readonly #calls: LeafCalls;
-  readonly #cold: ColdLeafs;
+  readonly #coldLeafs: ColdLeafs;
   readonly #relays = new RelayCalls({
     nowMs,
-    eventLoopIdleMs: eventLoopIdleMs,
-    onActive: () => this.#tidyTimer.wake(),
+    eventLoopIdleMs,
+    onActive: () => this.#cleanupTimer.wake(),
   });
   readonly #quarantine: Quarantine;
   readonly #archive: QuarantineArchive;
@@ -79,27 +76,27 @@
   readonly #callerServer: Server;
   readonly #servers: ReadonlyArray<ServerAtPort>;
   readonly #view: FleetView;
-  readonly #life: BoxLifecycle;
-  readonly #tidyTimer = new AdaptiveTimer({
-    busyIntervalMs: TIDY_EVERY_MS,
-    idleIntervalMs: TIDY_IDLE_EVERY_MS,
+  readonly #lifecycle: BoxLifecycle;
+  readonly #cleanupTimer = new AdaptiveTimer({
+    busyIntervalMs: CLEANUP_INTERVAL_MS,
+    idleIntervalMs: STANDBY_CLEANUP_INTERVAL_MS,
     isBusy: () => this.#isBusy(),
-    run: () => this.#tidy(),
+    run: () => this.#cleanUp(),
   });
 
   /**
-   * @param options - What the box is started with.
+   * @param options - Settings, telemetry and policies of the box.
    */
   constructor({ settings, telemetry, policies, metrics, onEnd }: BoxOptions) {
     this.#settings = settings;
     this.#telemetry = telemetry;
     this.#onEnd = onEnd;
-    this.#life = new BoxLifecycle({
+    this.#lifecycle = new BoxLifecycle({
       telemetry,
       runningCount: () => this.#runner.runningCount,
       onLeaving: () => this.#leave(),
-      onFinishing: () => this.#takeNoMore(),
-      onEnd: () => this.#end(),
+      onFinishing: () => this.#stopAccepting(),
+      onEnd: () => this.#completeStop(),
     });
     this.#store = new StoreClient(settings.store);
     this.#view = new FleetView({
@@ -108,26 +105,26 @@
       alive: () => this.#fleet.alive(),
       sinceLastContactMs: () => this.#fleet.sinceLastContactMs,
     });
-    this.#knowledge = new ClusterState({
+    this.#clusterState = new ClusterState({
       store: this.#store,
       waitMs: watchWaitMs(settings),
       telemetry,
       nowMs,
-      onConfiguration: () => this.#configured(),
+      onConfiguration: () => this.#onConfiguration(),
       onLeafs: () => {
-        this.#calls.setLeafs(this.#knowledge.leafs.byId);
-        this.#cold.setLeafs(this.#knowledge.leafs.byId);
-        this.#learned();
+        this.#calls.setLeafs(this.#clusterState.leafs.byId);
+        this.#coldLeafs.setLeafs(this.#clusterState.leafs.byId);
+        this.#onStateChange();
       },
       onStoreRestored: () => void this.#archive.rewrite(this.#quarantine.records()),
       isEvacuationEnabled: settings.hasEvacuations,
-      onEvacuations: (usedAgain) => this.#evacuated(usedAgain),
+      onEvacuations: (usedAgain) => this.#onEvacuations(usedAgain),
     });
     this.#archive = new QuarantineArchive({
       store: this.#store,
       nowMs,
       nowEpochMs: () => Date.now(),
-      onLoaded: (told) => this.#quarantine.applyReports(told),
+      onLoaded: (reported) => this.#quarantine.applyReports(reported),
       telemetry,
     });
     this.#quarantine = makeQuarantine({
@@ -139,24 +136,24 @@
       persist: (record, before) => void this.#archive.recordChange(record, before),
       telemetry,
     });
-    const { access, coldLeafs: cold } = makeLeafAccess({
+    const { access, coldLeafs } = makeLeafAccess({
       settings,
       nowMs,
-      clusterState: () => this.#knowledge,
+      clusterState: () => this.#clusterState,
       view: this.#view,
       quarantine: this.#quarantine,
     });
-    this.#cold = cold;
+    this.#coldLeafs = coldLeafs;
     this.#calls = new LeafCalls({
       quarantine: this.#quarantine,
       access,
       nowMs,
-      eventLoopIdleMs: eventLoopIdleMs,
+      eventLoopIdleMs,
       maxConnectionsTo: (service) => {
-        const terms = this.#knowledge.routes?.termsByService.get(service);
+        const terms = this.#clusterState.routes?.termsByService.get(service);
         return this.#view.connectionShare(terms?.maxConnections || Number.POSITIVE_INFINITY);
       },
-      onBusy: () => this.#tidyTimer.wake(),
+      onBusy: () => this.#cleanupTimer.wake(),
       onEnd: (result) => telemetry.attempts.add(result),
     });
     this.#budgets = makeBudgets({ settings: () => this.#settings, view: this.#view, nowMs });
@@ -167,9 +164,9 @@
     });
     this.#runner = makeRunner({
       nowMs,
-      eventLoopIdleMs: eventLoopIdleMs,
+      eventLoopIdleMs,
       calls: this.#calls,
-      leafs: () => this.#knowledge.leafs,
+      leafs: () => this.#clusterState.leafs,
       places,
       relays: this.#relays,
       budgets: this.#budgets,
@@ -177,23 +174,23 @@
       access,
       telemetry,
     });
-    const isNear = ({ dataCentre }: Member): boolean => places.isLocal(dataCentre);
+    const isLocal = ({ dataCentre }: Member): boolean => places.isLocal(dataCentre);
     this.#fleet = makeFleetLink({
       settings: () => this.#settings,
       nowMs,
-      clusterState: this.#knowledge,
+      clusterState: this.#clusterState,
       view: this.#view,
-      isLocal: isNear,
+      isLocal,
       quarantine: this.#quarantine,
       onMember: () => {
         this.#view.invalidate();
-        this.#tidyTimer.wake();
+        this.#cleanupTimer.wake();
       },
       telemetry,
     });
-    const intake = makeRequestHandler({
+    const requestHandler = makeRequestHandler({
       nowMs,
-      clusterState: this.#knowledge,
+      clusterState: this.#clusterState,
       telemetry,
       runner: this.#runner,
       programs: policies,
@@ -202,19 +199,19 @@
     this.#callerServer = createCallerServer({
       nowMs,
       maxBodyBytes: () => {
-        const limits = this.#knowledge.routes?.configuration.callerLimits;
+        const limits = this.#clusterState.routes?.configuration.callerLimits;
         return limits?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
       },
-      isLeaving: () => this.#life.phase !== "ready",
-      onRequest: (arrived, answer) => intake.handle(arrived, answer),
+      isLeaving: () => this.#lifecycle.phase !== "ready",
+      onRequest: (incoming, sendReply) => requestHandler.handle(incoming, sendReply),
     });
     this.#servers = [
       { server: this.#callerServer, port: settings.callers.port },
       ...makeAuxiliaryServers({
         settings: () => this.#settings,
-        lifecycle: this.#life,
+        lifecycle: this.#lifecycle,
         view: this.#view,
-        clusterState: this.#knowledge,
+        clusterState: this.#clusterState,
         quarantine: this.#quarantine,
         calls: this.#calls,
         places,
@@ -226,30 +223,30 @@
     ];
   }
 
-  /** Opens all ports and begins to watch the store. */
+  /** Starts all servers and begins to watch the store. */
   async start(): Promise<void> {
     const { address } = this.#settings;
-    const told = {
+    const jumpListeners = {
       fleet: this.#fleet,
       view: this.#view,
       runner: this.#runner,
       telemetry: this.#telemetry,
     };
-    // Not while a moment is being told.
-    BOX_CLOCK.setJumpListener((jump) => queueMicrotask(() => handleTimeJump(jump, told)));
-    this.#knowledge.start();
+    // Deferred, because the clock must not be read again from within one of its reads.
+    BOX_CLOCK.setJumpListener((jump) => queueMicrotask(() => handleTimeJump(jump, jumpListeners)));
+    this.#clusterState.start();
     await Promise.all(this.#servers.map(({ server, port }) => listen(server, { address, port })));
     await this.#fleet.start();
-    this.#tidyTimer.start();
+    this.#cleanupTimer.start();
     this.#archive.scheduleLoad(() => this.#view.watchesStore());
     this.#telemetry.event("info", "box: started", { startMs: Math.round(performance.now()) });
   }
 
   /**
-   * Takes in changed settings: seeds and bounds hold from now on; addresses and names stay as they
-   * are until the next start.
+   * Applies changed settings. Seeds and limits take effect immediately; addresses and names keep their values
+   * until the next start.
    *
-   * @param settings - The settings as they are now.
+   * @param settings - The new settings.
    */
   reload(settings: BoxSettings): void {
     const before = this.#settings;
@@ -262,9 +259,9 @@
     this.#telemetry.event("info", "box: reloaded", changed);
   }
 
-  /** Begins a planned stop: no longer advised, serves on, finishes what it took, ends. */
+  /** Begins a planned stop: leaves the address lists, completes open requests, then exits. */
   stop(): void {
-    this.#life.stop(this.#settings.stopGraceMs);
+    this.#lifecycle.stop(this.#settings.stopGraceMs);
   }
 
   #leave(): void {
@@ -272,7 +269,7 @@
     this.#view.invalidate();
   }
 
-  #takeNoMore(): void {
+  #stopAccepting(): void {
     this.#callerServer.close();
     this.#callerServer.closeIdleConnections();
   }
@@ -280,10 +277,10 @@
   #report(): BoxReport {
     return buildBoxReport({
       box: this.#settings.box,
-      phase: this.#life.phase,
-      knowledge: this.#knowledge,
-      condition: (leafId) => this.#calls.health(leafId),
-      isCold: (leafId) => this.#cold.isCold(leafId),
+      phase: this.#lifecycle.phase,
+      clusterState: this.#clusterState,
+      healthOf: (leafId) => this.#calls.health(leafId),
+      isCold: (leafId) => this.#coldLeafs.isCold(leafId),
       runningCount: this.#runner.runningCount,
       members: this.#fleet.members(),
       extraCallsLeft: this.#budgets.remainingByService(),
@@ -292,62 +289,69 @@
     });
   }
 
-  #end(): void {
+  #completeStop(): void {
     const open = this.#runner.answerAll();
-    this.#tidyTimer.stop();
+    this.#cleanupTimer.stop();
     this.#archive.stop();
-    this.#knowledge.stop();
+    this.#clusterState.stop();
     this.#fleet.stop();
     this.#telemetry.event("info", "box: stopped", { open });
     void this.#telemetry.flush().then(() => this.#onEnd());
   }
 
-  #configured(): void {
-    const limits = this.#knowledge.routes?.configuration.callerLimits;
+  #onConfiguration(): void {
+    const limits = this.#clusterState.routes?.configuration.callerLimits;
     if (limits !== undefined) {
       setKeepAliveTimeouts(this.#callerServer, limits);
     }
-    this.#learned();
+    this.#onStateChange();
   }
 
-  /** Takes work once all that is needed is known, and tells the boxes that hear from this one. */
-  #learned(): void {
-    if (this.#knowledge.isComplete && this.#life.phase === "starting") {
-      this.#life.markConfigured();
+  /** Becomes ready once the state is complete, and notifies the boxes that receive updates from this one. */
+  #onStateChange(): void {
+    if (this.#clusterState.isComplete && this.#lifecycle.phase === "starting") {
+      this.#lifecycle.markConfigured();
       this.#fleet.announceState("alive");
       this.#view.invalidate();
     }
-    if (this.#knowledge.isWatcher) {
+    if (this.#clusterState.isWatcher) {
       this.#fleet.sendUpdate(this.#view.updateRecipients());
     }
   }
 
-  /** Tells the boxes that hear from this one of what is emptied; what was empty is cold by now. */
-  #evacuated(usedAgain: ReadonlyArray<string>): void {
-    const rested = [...this.#knowledge.leafs.byId.values()].filter(({ dataCentre }) => {
+  /**
+   * Notifies the boxes that receive updates from this one; leafs of data centres that are in use again are
+   * marked cold.
+   */
+  #onEvacuations(usedAgain: ReadonlyArray<string>): void {
+    const reused = [...this.#clusterState.leafs.byId.values()].filter(({ dataCentre }) => {
       return usedAgain.includes(dataCentre);
     });
-    this.#cold.markCold(rested);
-    if (this.#knowledge.isWatcher) {
+    this.#coldLeafs.markCold(reused);
+    if (this.#clusterState.isWatcher) {
       this.#fleet.sendUpdate(this.#view.updateRecipients());
     }
   }
 
-  /** Whether something may be overdue before a box that stands by would look. */
+  /** Whether anything may become overdue within the standby interval. */
   #isBusy(): boolean {
-    const isWaiting = this.#calls.openCount + this.#relays.openCount > 0;
-    return isWaiting || !this.#knowledge.isComplete || this.#knowledge.leafs.expiresAtMs.size > 0;
+    const hasOpenCalls = this.#calls.openCount + this.#relays.openCount > 0;
+    return (
+      hasOpenCalls ||
+      !this.#clusterState.isComplete ||
+      this.#clusterState.leafs.expiresAtMs.size > 0
+    );
   }
 
-  #tidy(): void {
+  #cleanUp(): void {
     BOX_CLOCK.checkBootClock();
     this.#calls.abandonOverdue();
     this.#relays.abortOverdue();
-    this.#knowledge.dropExpired();
-    // One that leaves is told of nothing any more and goes on by itself.
-    const isWatcher = this.#life.isStopping || this.#view.watchesStore();
-    this.#knowledge.setWatcher(isWatcher);
-    const answeredAgoMs = this.#knowledge.storeAnsweredAgoMs;
+    this.#clusterState.dropExpired();
+    // A stopping box no longer receives updates from others, so it watches the store itself.
+    const isWatcher = this.#lifecycle.isStopping || this.#view.watchesStore();
+    this.#clusterState.setWatcher(isWatcher);
+    const answeredAgoMs = this.#clusterState.storeAnsweredAgoMs;
     this.#telemetry.setStoreStats({ calls: this.#store.calls, answeredAgoMs });
   }
 }
--- a/box/caller_server.ts
+++ b/box/caller_server.ts
@@ -1,5 +1,5 @@
 /**
- * Takes callers' requests over HTTP and writes their answers.
+ * The HTTP server for callers' requests.
  *
  * @module
  */
@@ -17,73 +17,70 @@
 import type { CallerLimits } from "../routing/mod.js";
 import type { ForwardedRequest } from "./_runner_options.js";
 
-/** A request as it came in, read whole. */
+/** A request that has been read completely. */
 export interface IncomingRequest {
   readonly arrivedAtMs: number;
-  /** Whether it is the first on its connection, so that the caller has waited for that as well. */
+  /** Whether it is the first request on its connection. */
   readonly opensConnection: boolean;
   readonly host: string;
   readonly terms: CallerHeaders;
   readonly forwarded: ForwardedRequest;
 }
 
-/** What is known of an answer once it has been handed to the caller's connection. */
+/** Sends the reply to the caller. */
 export type ReplyCallback = (reply: Reply) => void;
 
-/** What the server needs of its box. */
+/** Options of {@link createCallerServer}. */
 export interface CallerServerOptions {
   readonly nowMs: () => number;
-  /** Most bytes of a body; bodies over it are refused. */
+  /** Returns the maximum size of a request body in bytes; larger ones are refused. */
   readonly maxBodyBytes: () => number;
-  /** Whether answers ask callers to close their connections, as the box is about to stop. */
+  /** Returns whether the box is about to stop, so that responses ask callers to close the connection. */
   readonly isLeaving: () => boolean;
-  /** Takes a request; the function returned is called when the caller goes before its answer. */
-  readonly onRequest: (request: IncomingRequest, answer: ReplyCallback) => () => void;
+  /** Handles a request; the returned function is called if the caller disconnects before the reply. */
+  readonly onRequest: (request: IncomingRequest, sendReply: ReplyCallback) => () => void;
 }
 
-/** Time that a resting connection is kept beyond the one promised, in milliseconds. */
-const IDLE_SLACK_MS = 1_000;
+/** Time for which idle connections are kept open beyond the configured timeout, in milliseconds. */
+const IDLE_GRACE_MS = 1_000;
 
-/** Most bytes of headers taken; callers' own limit is lower. */
+/** Maximum size of the headers in bytes; higher than the limit that callers apply themselves. */
 const MAX_HEADER_BYTES = 65_536;
 
-/**
- * Longest time that a caller may take to send a request, in milliseconds; it is told then that the
- * request has not run. Well above any deadline of a caller that sends in time.
- */
-const MOST_READ_MS = 30_000;
+/** Maximum time for receiving a request, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 30_000;
 
 /**
- * Makes the server that faces callers; it is not listening yet.
+ * Creates the server; it is not listening yet.
  *
- * @param options - What the server needs of its box.
+ * @param options - Limits and the handler of requests.
  * @returns The server.
  */
 export function createCallerServer(options: CallerServerOptions): Server {
-  const known = new WeakSet<Socket>();
+  const knownSockets = new WeakSet<Socket>();
   const server = createServer({ maxHeaderSize: MAX_HEADER_BYTES }, (request, response) => {
     const arrivedAtMs = options.nowMs();
-    const opensConnection = !known.has(request.socket);
-    known.add(request.socket);
+    const opensConnection = !knownSockets.has(request.socket);
+    knownSockets.add(request.socket);
     readBody(request, options.maxBodyBytes(), (body) => {
       if (body === "too long") {
-        writeAnswer(response, TOO_LONG, options);
+        writeAnswer(response, BODY_TOO_LARGE, options);
         return;
       }
-      takeRequest({ request, response, body, arrivedAtMs, opensConnection }, options);
+      handleRequest({ request, response, body, arrivedAtMs, opensConnection }, options);
     });
   });
-  server.requestTimeout = MOST_READ_MS;
+  server.requestTimeout = REQUEST_TIMEOUT_MS;
   return server;
 }
 
-const TOO_LONG: EncodedReply = {
+const BODY_TOO_LARGE: EncodedReply = {
   statusCode: 413,
   headers: ["Content-Type", "text/plain"],
   body: Buffer.from("Cannot take the body: it is too long"),
 };
 
-interface ReadRequest {
+interface ReceivedRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly body: Buffer | undefined;
@@ -91,8 +88,8 @@
   readonly opensConnection: boolean;
 }
 
-function takeRequest(
-  { request, response, body, arrivedAtMs, opensConnection }: ReadRequest,
+function handleRequest(
+  { request, response, body, arrivedAtMs, opensConnection }: ReceivedRequest,
   options: CallerServerOptions,
 ): void {
   const { method = "GET", url: path = "/" } = request;
@@ -105,22 +102,22 @@
     routeKey: { host, path },
     fingerprint: requestFingerprint({ method, caller: host, path, body }),
   };
-  const arrived: IncomingRequest = {
+  const incoming: IncomingRequest = {
     arrivedAtMs,
     opensConnection,
     host,
     terms: decodeCallerHeaders(request.headers),
     forwarded,
   };
-  let answered = false;
-  const callerGone = options.onRequest(arrived, (reply) => {
-    answered = true;
+  let isAnswered = false;
+  const onDisconnect = options.onRequest(incoming, (reply) => {
+    isAnswered = true;
     writeAnswer(response, encodeReply(reply), options);
   });
   response.on("close", () => {
-    if (!answered) {
-      answered = true;
-      callerGone();
+    if (!isAnswered) {
+      isAnswered = true;
+      onDisconnect();
     }
   });
 }
@@ -167,16 +164,16 @@
 }
 
 /**
- * Keeps connections that rest for as long as the configuration promises. Never shortened within a
- * life: connections that rest now were promised the longer time.
+ * Sets the timeouts of idle connections. They are never shortened while the process runs, because callers may
+ * still rely on the longer timeout for connections that are already open.
  *
  * @param server - The server.
- * @param limits - What callers were promised.
+ * @param limits - Timeouts that the configuration guarantees to callers.
  */
 export function setKeepAliveTimeouts(
   server: Server,
   { idleTimeoutMs, headerTimeoutMs }: Pick<CallerLimits, "idleTimeoutMs" | "headerTimeoutMs">,
 ): void {
-  server.keepAliveTimeout = Math.max(server.keepAliveTimeout, idleTimeoutMs + IDLE_SLACK_MS);
+  server.keepAliveTimeout = Math.max(server.keepAliveTimeout, idleTimeoutMs + IDLE_GRACE_MS);
   server.headersTimeout = server.keepAliveTimeout + headerTimeoutMs;
 }
--- a/box/make_quarantine_test.ts
+++ b/box/make_quarantine_test.ts
@@ -1,6 +1,5 @@
-// Of a fleet of 195 boxes 18 take all requests. The one box that may try a suspect later on was picked among all 195, so
-// that for nine queries of ten it was one where no request comes in: an innocent query that had lost leafs, in a
-// rack without power, was refused by all serving boxes for ten minutes.
+// Regression test: the one box that may send probe calls of a suspected query must be among the boxes that
+// receive requests. Otherwise nothing ever clears a query that was suspected by mistake.
 import t from "tap";
 import type { Member } from "../model/mod.js";
 import { sampleMember } from "../standins/sample_member.js";
@@ -8,7 +7,7 @@
 
 const QUERIES = 200;
 
-/** Time after which only one box may try a suspect, in milliseconds. */
+/** Time after which only one box may send a suspected query, in milliseconds. */
 const LATER_MS = 60_000;
 
 const FLEET: ReadonlyArray<Member> = Array.from({ length: 195 }, (_, index) => {
@@ -16,8 +15,8 @@
 });
 const SERVING = FLEET.slice(0, 18);
 
-/** Tells which of the boxes may try a query that has lost three leafs a minute ago. */
-function tryingBoxes(fingerprint: string): ReadonlyArray<string> {
+/** Returns the boxes that may send a query under which three leafs crashed a minute ago. */
+function boxesThatMaySend(fingerprint: string): ReadonlyArray<string> {
   return FLEET.filter(({ box }) => {
     const clock = { nowMs: 1_000 };
     const options = {
@@ -31,7 +30,7 @@
       telemetry: { event: () => undefined, quarantineChanges: { add: () => undefined } },
     };
     const quarantine = makeQuarantine(options as MakeQuarantineOptions);
-    for (let lost = 0; lost < 3; lost++) {
+    for (let crash = 0; crash < 3; crash++) {
       quarantine.recordCrash({ fingerprint, isTrial: false });
     }
     clock.nowMs += LATER_MS;
@@ -39,11 +38,11 @@
   }).map(({ box }) => box);
 }
 
-t.test("a suspect is tried by one box, and that is one where requests come in", async (t) => {
+t.test("a suspected query is sent by exactly one box, which receives requests", async (t) => {
   const serving = new Set(SERVING.map(({ box }) => box));
   const misplaced = Array.from({ length: QUERIES }, (_, index) => `query-${index}`).filter(
     (query) => {
-      const [only, ...others] = tryingBoxes(query);
+      const [only, ...others] = boxesThatMaySend(query);
       return only === undefined || others.length > 0 || !serving.has(only);
     },
   );
--- a/box/mod.ts
+++ b/box/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The box daemon: one process a box that takes requests, asks leafs and answers.
+ * The box daemon: one process per box that receives requests, calls leafs and responds to callers.
  *
  * @module
  */
--- a/box/request_handler.ts
+++ b/box/request_handler.ts
@@ -1,6 +1,5 @@
 /**
- * Takes callers' requests: finds the route, asks the policy, has the request run, and writes the log
- * line of what was decided.
+ * Handles callers' requests: finds the route, applies the policies, runs the request and logs the outcome.
  *
  * @module
  */
@@ -14,68 +13,68 @@
 import { requestTerms } from "./request_terms.js";
 import type { Admission, RoutePolicies } from "./route_policies.js";
 
-/** When a caller may ask again while no configuration is known, in milliseconds. */
+/** Time after which a caller may retry while no configuration is known, in milliseconds. */
 const STARTING_RETRY_MS = 300;
 
-/** What taking requests works on. */
+/** Options of {@link RequestHandler}. */
 export interface RequestHandlerOptions {
   readonly nowMs: () => number;
   readonly clusterState: ClusterState;
   readonly telemetry: BoxTelemetry;
   readonly runner: RequestRunner;
   readonly policies: RoutePolicies;
-  /** Tells how many boxes share what is limited. */
+  /** Returns the number of boxes that share callers' rate limits. */
   readonly countBoxes: () => number;
 }
 
-/** Takes requests. */
+/** Handles requests. */
 export class RequestHandler {
   readonly #options: RequestHandlerOptions;
   readonly #splits = new Map<string, ServiceCredits>();
 
   /**
-   * @param options - What taking requests works on.
+   * @param options - Dependencies of the handler.
    */
   constructor(options: RequestHandlerOptions) {
     this.#options = options;
   }
 
   /**
-   * Takes a request.
+   * Handles a request.
    *
-   * @param arrived - The request, read whole.
-   * @param answer - Called once with the reply, unless the caller goes.
-   * @returns To be called when the caller goes before its answer.
+   * @param incoming - The complete request.
+   * @param sendReply - Called once with the reply, unless the caller disconnects first.
+   * @returns Function to call if the caller disconnects before the reply.
    */
-  handle(arrived: IncomingRequest, answer: ReplyCallback): () => void {
+  handle(incoming: IncomingRequest, sendReply: ReplyCallback): () => void {
     const routes = this.#options.clusterState.routes;
     if (routes === undefined) {
       this.#options.telemetry.logRequest("request: not run, no configuration yet", {
-        requestId: arrived.terms.requestId,
+        requestId: incoming.terms.requestId,
         isStoreReachable: this.#options.clusterState.isStoreReachable,
       });
-      answer({
+      sendReply({
         kind: "notRun",
         reason: "no configuration is known yet",
         retryAfterMs: STARTING_RETRY_MS,
       });
       return () => undefined;
     }
-    const { host, forwarded } = arrived;
+    const { host, forwarded } = incoming;
     const route = findRoute(routes, { host, path: forwarded.path });
     if (route === undefined) {
       this.#options.telemetry.logRequest("request: no route", {
-        requestId: arrived.terms.requestId,
+        requestId: incoming.terms.requestId,
         host,
         path: forwarded.path,
         version: routes.configuration.version,
       });
-      answer({ kind: "noRoute" });
+      sendReply({ kind: "noRoute" });
       return () => undefined;
     }
-    const admission = this.#admit(arrived, route);
-    const mostQueueMs = routes.queueAllowancesMs.get(route.name) ?? Number.POSITIVE_INFINITY;
-    const terms = requestTerms(arrived, route, { ...admission, maxQueueMs: mostQueueMs });
+    const admission = this.#admit(incoming, route);
+    const maxQueueMs = routes.queueAllowancesMs.get(route.name) ?? Number.POSITIVE_INFINITY;
+    const terms = requestTerms(incoming, route, { ...admission, maxQueueMs });
     if (admission.refusal !== "") {
       const { refusal, retryAfterMs } = admission;
       this.#options.telemetry.requests.inc({ route: route.name, outcome: "refused" });
@@ -86,7 +85,7 @@
         refusal,
         retryAfterMs,
       });
-      answer({ kind: "notRun", reason: refusal, retryAfterMs });
+      sendReply({ kind: "notRun", reason: refusal, retryAfterMs });
       return () => undefined;
     }
     const run = this.#options.runner.run({
@@ -94,11 +93,11 @@
       placement: admission.placement,
       services: this.#servicesOf(route),
       forwarded,
-      onReply: (reply, account) => {
-        answer(reply);
-        this.#tell(reply, account, routes.configuration.version);
+      onReply: (reply, summary) => {
+        sendReply(reply);
+        this.#logReply(reply, summary, routes.configuration.version);
       },
-      onCallerDisconnected: (account) => this.#tellGone(account, routes.configuration.version),
+      onCallerDisconnected: (summary) => this.#logDisconnect(summary, routes.configuration.version),
     });
     return () => run.cancel();
   }
@@ -126,17 +125,17 @@
     return [service];
   }
 
-  #tellGone(account: RequestSummary, version: number): void {
-    const route = account.state.terms.route.name;
+  #logDisconnect(summary: RequestSummary, version: number): void {
+    const route = summary.state.terms.route.name;
     this.#options.telemetry.requests.inc({ route, outcome: "callerGone" });
     this.#options.telemetry.logRequest(
-      "request: caller gone",
-      this.#accountFields(account, version),
+      "request: caller disconnected",
+      this.#summaryFields(summary, version),
     );
   }
 
-  #tell(reply: Reply, account: RequestSummary, version: number): void {
-    const { terms } = account.state;
+  #logReply(reply: Reply, summary: RequestSummary, version: number): void {
+    const { terms } = summary.state;
     const tookMs = Math.round(this.#options.nowMs() - terms.arrivedAtMs);
     const route = terms.route.name;
     this.#options.telemetry.requests.inc({ route, outcome: reply.kind });
@@ -146,13 +145,13 @@
       ...(reply.kind === "failed" || reply.kind === "notRun" ? { reason: reply.reason } : {}),
       ...(reply.kind === "notRun" ? refusalFields(reply) : {}),
       ...(reply.kind === "passed" ? { statusCode: reply.answer.statusCode } : {}),
-      ...this.#accountFields(account, version),
+      ...this.#summaryFields(summary, version),
     });
   }
 
-  /** What decided a request, with the age of what the box knew. */
-  #accountFields(
-    { blockedShards: barred, fingerprint, lostLeafs, notes, state }: RequestSummary,
+  /** Log fields of a finished request, with the age of the state that the decisions were based on. */
+  #summaryFields(
+    { blockedShards, fingerprint, lostLeafs, notes, state }: RequestSummary,
     version: number,
   ): LogFields {
     const { terms, shards, partsIn, partsLost, nextAttemptId } = state;
@@ -171,17 +170,17 @@
       attempts: nextAttemptId - 1,
       fingerprint,
       lostLeafs,
-      ...(barred.size === 0 ? {} : { barred: Object.fromEntries(barred) }),
+      ...(blockedShards.size === 0 ? {} : { barred: Object.fromEntries(blockedShards) }),
       notes,
       open: shards.flatMap(({ service, open, part, relayed }) => {
         const isIn = part !== undefined || relayed;
-        return isIn ? [] : open.map(({ calledId: asked }) => `${service} at ${asked}`);
+        return isIn ? [] : open.map(({ calledId }) => `${service} at ${calledId}`);
       }),
     };
   }
 }
 
-/** When a refused caller may come back, and what the refusal was decided by. */
+/** Log fields of a refusal: time until a retry and the reasons. */
 function refusalFields({
   overload,
   retryAfterMs,
--- a/box/request_runner.ts
+++ b/box/request_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the decisions of requests: calls, timers, replies.
+ * Runs requests: executes the calls, timers and replies that the request state machine decides on.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   stepRequest,
 } from "../request/mod.js";
 import { RelayRequests } from "./_relay_requests.js";
-import { RunEnvironment } from "./_run_environment.js";
+import { RunContext } from "./_run_context.js";
 import type { ForwardedRequest, RunnerOptions } from "./_runner_options.js";
 
 /** One request to run. */
@@ -28,44 +28,44 @@
   readonly services: ReadonlyArray<string>;
   readonly forwarded: ForwardedRequest;
   readonly placement: Placement;
-  /** Told once, unless the caller goes. */
-  readonly onReply: (reply: Reply, account: RequestSummary) => void;
-  /** Told once when the caller goes before its answer. */
-  readonly onCallerDisconnected: (account: RequestSummary) => void;
+  /** Called once with the reply, unless the caller disconnects first. */
+  readonly onReply: (reply: Reply, summary: RequestSummary) => void;
+  /** Called once if the caller disconnects before the reply. */
+  readonly onCallerDisconnected: (summary: RequestSummary) => void;
 }
 
-/** An attempt that was not plain: a second one, or one without a usable answer. */
+/** A noteworthy attempt: a retry, or one without a usable answer. */
 export interface AttemptNote {
-  /** Leaf or box that was asked. */
+  /** Leaf or box that was called. */
   readonly asked: string;
-  /** Time from the request's arrival, in milliseconds. */
+  /** Time since the request was received, in milliseconds. */
   readonly atMs: number;
   readonly what: string;
 }
 
-/** A request at its end, for logs. */
+/** Summary of a finished request for the log. */
 export interface RequestSummary {
   readonly state: RequestState;
-  /** Attempts that were not plain, the earliest first. */
+  /** Noteworthy attempts, the earliest first. */
   readonly notes: ReadonlyArray<AttemptNote>;
-  /** The same for all requests that ask for the same thing. */
+  /** Hash of the request's content, equal for identical queries. */
   readonly fingerprint: string;
-  /** Shards that no leaf could be asked for, by service, and what kept their leafs from it. */
+  /** Reasons why no leaf of a shard could be called, by service. */
   readonly blockedShards: ReadonlyMap<string, string>;
-  /** Leafs whose connection ended under it before an answer. */
+  /** Number of leafs whose connection closed before they answered, as happens when they crash. */
   readonly lostLeafs: number;
 }
 
-/** Notes of one request that are kept; a query over many shards may have very many. */
-const MOST_NOTES = 40;
+/** Maximum number of notes kept for one request. */
+const MAX_NOTES = 40;
 
 /** A request that is running. */
 export interface RunningRequest {
-  /** Moment at which its final answer is due. */
+  /** Time by which the reply must be sent, in milliseconds. */
   readonly deadlineAtMs: number;
-  /** Stops all work, since the caller has gone. */
+  /** Stops all work because the caller has disconnected. */
   cancel(): void;
-  /** Gives the final answer by what is known now, as at its deadline. */
+  /** Replies immediately with the results received so far, as at the deadline. */
   answerNow(): void;
 }
 
@@ -75,22 +75,22 @@
   readonly #running = new Set<RunningRequest>();
 
   /**
-   * @param options - What the runner needs of its box.
+   * @param options - Dependencies that the box provides.
    */
   constructor(options: RunnerOptions) {
     this.#options = options;
   }
 
-  /** Requests that have no answer yet. */
+  /** Number of unanswered requests. */
   get runningCount(): number {
     return this.#running.size;
   }
 
   /**
-   * Gives all requests that run their final answers, as the process is about to end. A silent leaf may
-   * hold some to their deadline; with the process their connections would end without an answer.
+   * Replies to all running requests because the process is about to exit; otherwise requests that wait for an
+   * unresponsive leaf would get no reply.
    *
-   * @returns How many they were.
+   * @returns The number of requests that were still running.
    */
   answerAll(): number {
     const open = [...this.#running];
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Gives the requests whose deadline has passed their final answers. Timers stand still while the box is
-   * suspended, and would let leafs work for callers that have gone.
+   * Replies to requests whose deadline has passed. Timers do not run while the box is suspended, so leafs might
+   * otherwise keep working for callers that have already disconnected.
    */
   answerOverdue(): void {
     for (const request of [...this.#running]) {
@@ -124,12 +124,12 @@
     }
     const run = new Run(options, this.#options, () => this.#running.delete(run));
     this.#running.add(run);
-    run.take({ kind: "started" });
+    run.dispatch({ kind: "started" });
     return run;
   }
 }
 
-type EffectRunners = {
+type EffectHandlers = {
   readonly [K in RequestEffect["kind"]]: (
     effect: Extract<RequestEffect, { readonly kind: K }>,
   ) => void;
@@ -146,8 +146,8 @@
   readonly #onDone: () => void;
   readonly #openCalls = new Map<number, OpenCall>();
   readonly #timers = new Map<RequestTimer, NodeJS.Timeout>();
-  readonly #world: RunEnvironment;
-  readonly #orders: RelayRequests;
+  readonly #context: RunContext;
+  readonly #relayRequests: RelayRequests;
   #notes: ReadonlyArray<AttemptNote> = [];
   #lostLeafs = 0;
   #state: RequestState;
@@ -159,16 +159,16 @@
     this.#state = newRequest(options.terms, options.services);
     const { nowMs, calls, quarantine, relays } = box;
     const { terms, forwarded, placement } = options;
-    this.#world = new RunEnvironment(box, {
+    this.#context = new RunContext(box, {
       ...forwarded,
       placement,
       objectiveMs: terms.objectiveAtMs - terms.arrivedAtMs,
     });
-    this.#orders = new RelayRequests({
+    this.#relayRequests = new RelayRequests({
       ...{ nowMs, calls, quarantine, relays, terms, forwarded },
-      chosenBox: (name) => this.#world.chosenBox(name),
-      dispatch: (event) => this.take(event),
-      addNote: (asked, what) => this.#note(asked, what),
+      chosenBox: (name) => this.#context.chosenBox(name),
+      dispatch: (event) => this.dispatch(event),
+      addNote: (calledId, note) => this.#addNote(calledId, note),
       onOpen: (attemptId, call) => this.#openCalls.set(attemptId, call),
       onEnded: (attemptId) => this.#openCalls.delete(attemptId),
     });
@@ -180,40 +180,40 @@
 
   cancel(): void {
     const wasDone = this.#state.done;
-    const account = this.#account();
-    this.take({ kind: "callerGone" });
+    const summary = this.#summary();
+    this.dispatch({ kind: "callerGone" });
     if (!wasDone) {
-      this.#options.onCallerDisconnected(account);
+      this.#options.onCallerDisconnected(summary);
     }
   }
 
   answerNow(): void {
-    this.take({ kind: "timer", timer: "deadline" });
+    this.dispatch({ kind: "timer", timer: "deadline" });
   }
 
-  take(event: RequestEvent): void {
+  dispatch(event: RequestEvent): void {
     const wasDone = this.#state.done;
-    this.#world.nowMs = this.#box.nowMs();
-    this.#world.eventLoopIdleMs = this.#box.eventLoopIdleMs();
-    const next: Step<RequestState, RequestEffect> = stepRequest(this.#state, event, this.#world);
+    this.#context.nowMs = this.#box.nowMs();
+    this.#context.eventLoopIdleMs = this.#box.eventLoopIdleMs();
+    const next: Step<RequestState, RequestEffect> = stepRequest(this.#state, event, this.#context);
     this.#state = next.state;
     for (const effect of next.effects) {
-      (this.#runners[effect.kind] as (effect: RequestEffect) => void)(effect);
+      (this.#handlers[effect.kind] as (effect: RequestEffect) => void)(effect);
     }
     if (!wasDone && this.#state.done) {
       this.#finish();
     }
   }
 
-  readonly #runners: EffectRunners = {
+  readonly #handlers: EffectHandlers = {
     call: (effect) => {
       if ((this.#state.shards[effect.shardIndex]?.runs ?? 0) > 1) {
-        this.#note(effect.leafId, "asked again");
+        this.#addNote(effect.leafId, "retried");
       }
       this.#call(effect);
     },
-    relay: (effect) => this.#orders.sendMerged(effect),
-    askThrough: (effect) => this.#orders.sendSeparate(effect),
+    relay: (effect) => this.#relayRequests.sendMerged(effect),
+    askThrough: (effect) => this.#relayRequests.sendSeparate(effect),
     abandon: ({ attemptId }) => this.#openCalls.get(attemptId)?.abandon(),
     withdraw: ({ attemptId }) => this.#openCalls.get(attemptId)?.withdraw(),
     wake: ({ timer, atMs }) => {
@@ -221,23 +221,23 @@
       clearTimeout(this.#timers.get(timer));
       this.#timers.set(
         timer,
-        setTimeout(() => this.take({ kind: "timer", timer }), delayMs),
+        setTimeout(() => this.dispatch({ kind: "timer", timer }), delayMs),
       );
     },
-    reply: ({ reply }) => this.#options.onReply(reply, this.#account()),
+    reply: ({ reply }) => this.#options.onReply(reply, this.#summary()),
   };
 
-  #account(): RequestSummary {
+  #summary(): RequestSummary {
     const { fingerprint } = this.#options.forwarded;
-    const { blockedShards: barred } = this.#world;
+    const { blockedShards } = this.#context;
     const counted = { fingerprint, lostLeafs: this.#lostLeafs };
-    return { state: this.#state, notes: this.#notes, blockedShards: barred, ...counted };
+    return { state: this.#state, notes: this.#notes, blockedShards, ...counted };
   }
 
-  #note(asked: string, what: string): void {
-    if (this.#notes.length < MOST_NOTES) {
+  #addNote(calledId: string, note: string): void {
+    if (this.#notes.length < MAX_NOTES) {
       const atMs = Math.round(this.#box.nowMs() - this.#options.terms.arrivedAtMs);
-      this.#notes = [...this.#notes, { asked, atMs, what }];
+      this.#notes = [...this.#notes, { asked: calledId, atMs, what: note }];
     }
   }
 
@@ -247,31 +247,31 @@
       if (isTrial) {
         this.#box.quarantine.endTrial(this.#options.forwarded.fingerprint);
       }
-      const outcome = { kind: "failed", sent: false, reason: "leaf is gone" } as const;
-      queueMicrotask(() => this.take({ kind: "attemptEnded", attemptId, shardIndex, outcome }));
+      const outcome = { kind: "failed", sent: false, reason: "leaf was removed" } as const;
+      queueMicrotask(() => this.dispatch({ kind: "attemptEnded", attemptId, shardIndex, outcome }));
       return;
     }
     const { requestId, route } = this.#options.terms;
     const { repeatable } = route;
     const maxBytes = maxAnswerBytes(this.#options.services.length);
-    const terms = { repeatable, deadlineAtMs, isTrial, maxBytes: maxBytes };
+    const terms = { repeatable, deadlineAtMs, isTrial, maxBytes };
     const call = { leaf, requestId, ...this.#options.forwarded, ...terms };
     const open = this.#box.calls.send(call, (outcome) => {
       this.#openCalls.delete(attemptId);
-      this.#noteEnd(leafId, outcome);
-      this.take({ kind: "attemptEnded", attemptId, shardIndex, outcome });
+      this.#recordOutcome(leafId, outcome);
+      this.dispatch({ kind: "attemptEnded", attemptId, shardIndex, outcome });
     });
     this.#openCalls.set(attemptId, open);
   }
 
-  #noteEnd(asked: string, outcome: AttemptOutcome): void {
+  #recordOutcome(calledId: string, outcome: AttemptOutcome): void {
     if (outcome.kind === "failed" && outcome.connectionClosed === true) {
       this.#lostLeafs += 1;
     }
     if (outcome.kind !== "answered") {
-      this.#note(asked, `${outcome.kind}: ${outcome.reason}`);
+      this.#addNote(calledId, `${outcome.kind}: ${outcome.reason}`);
     } else if (outcome.answer.statusCode >= 300) {
-      this.#note(asked, `status ${outcome.answer.statusCode}`);
+      this.#addNote(calledId, `status ${outcome.answer.statusCode}`);
     }
   }
 
--- a/box/request_terms_test.ts
+++ b/box/request_terms_test.ts
@@ -35,24 +35,21 @@
   };
 }
 
-t.test(
-  "requestTerms() keeps to the earlier of the caller's deadline and the timeout",
-  async (t) => {
-    const byRoute = requestTerms(arrived(6_000), ROUTE, ADMISSION);
-    t.ok(byRoute.deadlineAtMs < 6_000 && byRoute.deadlineAtMs > 5_900);
-    const byCaller = requestTerms(arrived(500), ROUTE, ADMISSION);
-    t.ok(byCaller.deadlineAtMs < 5_500 && byCaller.deadlineAtMs > 5_400);
-    t.same(requestTerms(arrived(undefined), ROUTE, ADMISSION), byRoute);
-  },
-);
+t.test("requestTerms() uses the earlier of the caller's deadline and the timeout", async (t) => {
+  const byRoute = requestTerms(arrived(6_000), ROUTE, ADMISSION);
+  t.ok(byRoute.deadlineAtMs < 6_000 && byRoute.deadlineAtMs > 5_900);
+  const byCaller = requestTerms(arrived(500), ROUTE, ADMISSION);
+  t.ok(byCaller.deadlineAtMs < 5_500 && byCaller.deadlineAtMs > 5_400);
+  t.same(requestTerms(arrived(undefined), ROUTE, ADMISSION), byRoute);
+});
 
-t.test("requestTerms() answers earlier on a new connection, whose opening took time", async (t) => {
-  const kept = requestTerms(arrived(1_000), ROUTE, ADMISSION);
+t.test("requestTerms() reserves time for opening a new connection", async (t) => {
+  const reused = requestTerms(arrived(1_000), ROUTE, ADMISSION);
   const opened = requestTerms(arrived(1_000, true), ROUTE, ADMISSION);
-  t.ok(opened.objectiveAtMs < kept.objectiveAtMs && kept.objectiveAtMs < 5_200);
+  t.ok(opened.objectiveAtMs < reused.objectiveAtMs && reused.objectiveAtMs < 5_200);
 });
 
-t.test("requestTerms() leaves a moment even where hardly any time is left", async (t) => {
+t.test("requestTerms() leaves at least 1 ms when hardly any time remains", async (t) => {
   const late = requestTerms(arrived(1), ROUTE, ADMISSION);
   t.equal(late.deadlineAtMs, 5_001);
 });
--- a/box/route_policies.ts
+++ b/box/route_policies.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' policy programs of routes, as the box applies them to each request.
+ * Applies the operators' policy programs to requests.
  *
  * @module
  */
@@ -11,50 +11,50 @@
 import type { PolicyDecision, PolicyInput, Programs } from "../policy/mod.js";
 import type { Route } from "../routing/mod.js";
 
-/** Name under which programs stand that hold for all routes without their own. */
+/** Name of the programs for all routes without programs of their own. */
 const ALL_ROUTES = "*";
 
-/** What is decided for a request before it is sent anywhere. */
+/** Decision on a request before any leaf is called. */
 export interface Admission {
-  /** Why it is refused; empty where it is not. */
+  /** Reason of the refusal; empty if the request is admitted. */
   readonly refusal: string;
-  /** When the caller may come back, in milliseconds; of no meaning where it is not refused. */
+  /** Time after which the caller may retry a refused request, in milliseconds. */
   readonly retryAfterMs: number;
   readonly placement: Placement;
   readonly maxAttempts: number;
-  /** Share of the parts, 0 to 1, with which the answer is given without waiting for more. */
+  /** Share of shards, 0 to 1, whose results suffice to answer without waiting for more. */
   readonly finishShare: number;
 }
 
-/** What the programs see of a request. */
+/** Input for the decision on a request. */
 export interface AdmissionInput {
   readonly route: Route;
-  /** Host that the caller named; limits for callers count by it. */
+  /** Host of the request, by which callers are rate-limited. */
   readonly caller: string;
   readonly waitMs: number;
-  /** Requests on this box that have no answer yet. */
+  /** Number of unanswered requests on this box. */
   readonly runningRequests: number;
-  /** Boxes over which a caller's rate is shared. */
+  /** Number of boxes that share a caller's rate. */
   readonly boxCount: number;
   readonly nowMs: number;
 }
 
-/** Compiled programs by route, and how they are run. */
+/** Compiled programs by route, and the function that evaluates them. */
 export interface CompiledPolicies {
   readonly programsByRoute: ReadonlyMap<string, Programs>;
   readonly evaluate: (programs: Programs, input: PolicyInput) => PolicyDecision;
 }
 
-/** When a refused caller may come back where its programs do not say, in milliseconds. */
+/** Default time after which a refused caller may retry, in milliseconds. */
 const REFUSED_RETRY_MS = 1_000;
 
 const PRIORITIES: ReadonlyArray<Priority> = ["urgent", "high", "normal", "low"];
 
 /**
- * Reads and compiles a file of programs. The compiler is loaded only then, as it takes long to load.
+ * Reads and compiles a file of programs. The compiler is imported on demand because loading it is slow.
  *
  * @param path - JSON file: an object of route names, or `*`, each with its programs by decision.
- * @returns The programs, or one sentence on the first fault.
+ * @returns The programs, or a message on the first error.
  */
 export async function readPolicies(path: string): Promise<Result<CompiledPolicies, string>> {
   const { compilePolicies, evaluatePolicies } = await import("../policy/mod.js");
@@ -75,15 +75,15 @@
   return ok({ programsByRoute, evaluate: evaluatePolicies });
 }
 
-/** Applies programs to requests. */
+/** Decides on the admission of requests by policy programs. */
 export class RoutePolicies {
   readonly #compiled: CompiledPolicies | undefined;
   readonly #onFailure: (policy: string, message: string) => void;
   readonly #buckets = new Map<string, TokenBucket>();
 
   /**
-   * @param compiled - The programs; nothing where the routes' own terms decide alone.
-   * @param onFailure - Told when a program fails; its default holds then.
+   * @param compiled - The programs; `undefined` if only the routes' own settings apply.
+   * @param onFailure - Called when a program fails and its default is used instead.
    */
   constructor(
     compiled: CompiledPolicies | undefined,
@@ -94,10 +94,10 @@
   }
 
   /**
-   * Decides a request.
+   * Decides on a request.
    *
-   * @param input - What is known of it.
-   * @returns Whether and how it goes on; never more attempts than the route allows.
+   * @param input - The request and the current load.
+   * @returns The decision; it never allows more attempts than the route does.
    */
   admit(input: AdmissionInput): Admission {
     const { route } = input;
@@ -123,16 +123,16 @@
 
   #limit(
     admission: Admission,
-    { caller, boxCount: boxes, nowMs }: AdmissionInput,
+    { caller, boxCount, nowMs }: AdmissionInput,
     { callerRequestsPerSecond: callerPerSecond }: PolicyDecision,
   ): Admission {
     if (callerPerSecond === 0) {
       return admission;
     }
-    const perSecond = callerPerSecond / Math.max(1, boxes);
+    const perSecond = callerPerSecond / Math.max(1, boxCount);
     const rate = { perSecond, burst: Math.max(1, perSecond) };
-    const held = this.#buckets.get(caller) ?? { tokens: rate.burst, updatedAtMs: nowMs };
-    const bucket = refill(held, rate, { nowMs });
+    const storedBucket = this.#buckets.get(caller) ?? { tokens: rate.burst, updatedAtMs: nowMs };
+    const bucket = refill(storedBucket, rate, { nowMs });
     if (bucket.tokens < 1) {
       this.#buckets.set(caller, bucket);
       const retryAfterMs = msUntilToken(bucket, rate);
@@ -150,12 +150,7 @@
   finishShare: 1,
 } as const;
 
-function policyInputOf({
-  route,
-  caller,
-  waitMs,
-  runningRequests: running,
-}: AdmissionInput): PolicyInput {
+function policyInputOf({ route, caller, waitMs, runningRequests }: AdmissionInput): PolicyInput {
   const { name, priorityRank, repeatable, target } = route;
   return {
     request: {
@@ -167,6 +162,6 @@
       wantedCoverage: target.kind === "gather" ? target.leastShare : 1,
       repeatable,
     },
-    load: { inFlight: running, availableShare: 1 },
+    load: { inFlight: runningRequests, availableShare: 1 },
   };
 }
--- a/box/route_policies_test.ts
+++ b/box/route_policies_test.ts
@@ -34,32 +34,35 @@
   return new RoutePolicies(compiled._unsafeUnwrap(), () => undefined);
 }
 
-t.test("without programs the route's own terms hold", async (t) => {
+t.test("without programs the route's own settings apply", async (t) => {
   const admission = new RoutePolicies(undefined, () => undefined).admit(INPUT);
   t.match(admission, { refusal: "", maxAttempts: 2, finishShare: 1, placement: "least-loaded" });
 });
 
-t.test("programs place, retry, finish and refuse, and never add attempts", async (t) => {
-  const policies = await policiesOf({
-    "*": {
-      place: "'nearest'",
-      retry: "5",
-      finish: "0.75",
-      refuse: "request.priority == 'low' && load.inFlight > 10 ? 'busy' : ''",
-    },
-  });
-  const admission = policies.admit(INPUT);
-  t.match(admission, { refusal: "", maxAttempts: 2, finishShare: 0.75, placement: "nearest" });
-  t.equal(policies.admit({ ...INPUT, runningRequests: 11 }).refusal, "busy");
-});
+t.test(
+  "programs decide placement, retries, coverage and refusals, but never add attempts",
+  async (t) => {
+    const policies = await policiesOf({
+      "*": {
+        place: "'nearest'",
+        retry: "5",
+        finish: "0.75",
+        refuse: "request.priority == 'low' && load.inFlight > 10 ? 'busy' : ''",
+      },
+    });
+    const admission = policies.admit(INPUT);
+    t.match(admission, { refusal: "", maxAttempts: 2, finishShare: 0.75, placement: "nearest" });
+    t.equal(policies.admit({ ...INPUT, runningRequests: 11 }).refusal, "busy");
+  },
+);
 
-t.test("a route's own programs go before those of all routes", async (t) => {
+t.test("a route's own programs take precedence over those of all routes", async (t) => {
   const policies = await policiesOf({ "*": { refuse: "'no'" }, sweep: { retry: "0" } });
   t.match(policies.admit(INPUT), { refusal: "", maxAttempts: 1 });
   t.equal(policies.admit({ ...INPUT, route: { ...ROUTE, name: "other" } }).refusal, "no");
 });
 
-t.test("a caller's rate is shared over the boxes and tells when to come back", async (t) => {
+t.test("a caller's rate is divided among the boxes and refusals state when to retry", async (t) => {
   const policies = await policiesOf({ "*": { limit: "4" } });
   const refusals = [0, 0, 0].map(() => policies.admit(INPUT).refusal);
   t.same(refusals.slice(0, 2), ["", ""]);
@@ -68,7 +71,7 @@
   t.equal(policies.admit({ ...INPUT, nowMs: 500 }).refusal, "");
 });
 
-t.test("faulty programs are named with their route", async (t) => {
+t.test("readPolicies() names the route of an invalid program", async (t) => {
   const path = join(mkdtempSync(join(tmpdir(), "rackvale-policies-")), "policies.json");
   writeFileSync(path, JSON.stringify({ sweep: { retry: "no.such" } }));
   const compiled = await readPolicies(path);
--- a/box/time_jump.ts
+++ b/box/time_jump.ts
@@ -1,5 +1,5 @@
 /**
- * What a box does when the time of day has jumped forward: it may have been suspended.
+ * Handles a forward jump of the system clock, which may mean that the box was suspended.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { BoxTelemetry } from "../telemetry/mod.js";
 import type { RequestRunner } from "./request_runner.js";
 
-/** What is told of a jump. */
+/** Components that are notified of a jump. */
 export interface TimeJumpOptions {
   readonly fleet: Pick<FleetLink, "requestUpdates">;
   readonly view: Pick<FleetView, "updateRecipients">;
@@ -17,11 +17,11 @@
 }
 
 /**
- * Takes in a jump. What was believed before a suspension may no longer hold, so other boxes are asked at once
- * unless the time of day was only stepped; requests are answered whose deadline passed meanwhile.
+ * Handles a jump. State from before a suspension may be outdated, so unless only the system clock was adjusted
+ * the other boxes are queried immediately, and requests whose deadline has passed are answered.
  *
- * @param jump - The jump.
- * @param options - What is told of it.
+ * @param jump - The jump; without a suspension time it is unknown whether the box was suspended.
+ * @param options - Components to notify.
  */
 export function handleTimeJump(
   { jumpMs, suspendedMs }: ClockJump,
