--- a/telemetry/box_telemetry.ts
+++ b/telemetry/box_telemetry.ts
@@ -1,5 +1,5 @@
 /**
- * Log lines of a box, bounded in volume and never waited for, and its metrics.
+ * Logs and metrics of a box. Log writes are rate-limited and never block.
  *
  * @module
  */
@@ -9,49 +9,49 @@
 import { nowMs } from "../clock/mod.js";
 import type { LogEffect } from "../core/mod.js";
 
-/** Lines a second that are written for requests; more are counted and told once a second. */
+/** Maximum number of request log lines per second; further ones are dropped and counted. */
 export const MAX_REQUEST_LINES_PER_SECOND = 60;
 
-/** Bytes that wait for a slow reader of the log; lines beyond are dropped. */
-const MAX_WAITING_BYTES = 1_048_576;
+/** Maximum number of bytes buffered for a slow log reader; further lines are dropped. */
+const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** Bytes gathered before they are written, as each write costs a system call. */
-const WRITE_BYTES = 8_192;
+/** Number of bytes buffered before they are written, to save system calls. */
+const MIN_WRITE_BYTES = 8_192;
 
-/** Longest time that lines are gathered, in milliseconds. */
-const FLUSH_EVERY_MS = 500;
+/** Maximum time for which lines are buffered, in milliseconds. */
+const FLUSH_DELAY_MS = 500;
 
-/** Time for the last lines to be written when the process ends, in milliseconds. */
-const LAST_WRITE_MS = 100;
+/** Maximum duration of a flush, in milliseconds. */
+const FLUSH_TIMEOUT_MS = 100;
 
-/** Upper bounds of the latency histograms, in milliseconds; around the routes' aims of 80 to 800 ms. */
+/** Upper bounds of the latency histogram's buckets, in milliseconds. */
 const LATENCY_BOUNDS_MS = [
   5, 10, 20, 40, 60, 80, 100, 150, 200, 300, 500, 800, 1_500, 3_000, 6_000,
 ];
 
-/** Values of a log line besides its sentence. */
+/** Fields of a log line in addition to its message. */
 export type LogFields = LogEffect["fields"];
 
-/** A counter by one label for the busiest paths. */
+/** A counter with one label, cheap enough for hot paths. */
 export interface LabeledCounter {
-  /** Counts one more with a label. */
+  /** Increments the count of a label. */
   add(label: string): void;
 }
 
-/** What a box has of the platform's store. */
+/** Statistics of a box's access to the platform's store. */
 export interface StoreStats {
-  /** Calls to it since the start. */
+  /** Number of calls since the process started. */
   readonly calls: number;
-  /** Age of its last answer in milliseconds, by kind of object that the box watches. */
+  /** Time since the last response in milliseconds, by kind of watched object. */
   readonly answeredAgoMs: ReadonlyMap<string, number>;
 }
 
-/** What a box tells of itself. */
+/** Logs and metrics of a box. */
 export interface BoxTelemetry {
-  /** Writes a line, whatever the volume: starts, stops, what is lost and regained. */
-  event(level: LogEffect["level"], sentence: string, fields?: LogFields): void;
-  /** Writes the line of a request, unless too many were written in this second. */
-  logRequest(sentence: string, fields: LogFields): void;
+  /** Writes a log line without rate limit, such as for starts, stops and state changes. */
+  event(level: LogEffect["level"], message: string, fields?: LogFields): void;
+  /** Writes the log line of a request, unless the limit of the current second is exceeded. */
+  logRequest(message: string, fields: LogFields): void;
   readonly requests: Counter<"route" | "outcome">;
   readonly requestMs: Histogram<"route">;
   readonly attempts: LabeledCounter;
@@ -59,17 +59,17 @@
   readonly relayedParts: Counter;
   readonly quarantineChanges: LabeledCounter;
   readonly storeAnswers: Counter<"kind" | "outcome">;
-  /** Shows what this box has of the store now. */
+  /** Updates the metrics of the store. */
   setStoreStats(store: StoreStats): void;
   readonly linesDropped: Counter;
-  /** Gives all metrics as text. */
+  /** Returns all metrics in the Prometheus text format. */
   metricsText(): Promise<string>;
-  /** Writes out what was gathered; tells whether the log was read within a moment. */
+  /** Writes buffered lines; resolves to `false` if the log reader did not accept them in time. */
   flush(): Promise<boolean>;
 }
 
 /**
- * Starts the telemetry of a box.
+ * Creates the telemetry of a box.
  *
  * @param box - Name of the box.
  * @param options - File descriptor of the log; standard output by default.
@@ -89,21 +89,21 @@
   const sink = new sonicBoom.SonicBoom({
     fd: logFd,
     sync: false,
-    minLength: WRITE_BYTES,
-    maxLength: MAX_WAITING_BYTES,
+    minLength: MIN_WRITE_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   sink.on("drop", () => linesDropped.inc());
   sink.on("error", () => linesDropped.inc());
   const log = bunyan.createLogger({
     name: "rackvale-box",
     box,
-    stream: flushedSoon(sink) as unknown as NodeJS.WritableStream,
+    stream: withDelayedFlush(sink) as unknown as NodeJS.WritableStream,
   });
   let second = 0;
   let lines = 0;
   return {
-    event: (level, sentence, fields = {}) => log[level](fields, sentence),
-    logRequest: (sentence, fields) => {
+    event: (level, message, fields = {}) => log[level](fields, message),
+    logRequest: (message, fields) => {
       const nowSecond = Math.floor(nowMs() / 1_000);
       if (nowSecond !== second) {
         second = nowSecond;
@@ -113,7 +113,7 @@
       if (lines > MAX_REQUEST_LINES_PER_SECOND) {
         linesDropped.inc();
       } else {
-        log.info(fields, sentence);
+        log.info(fields, message);
       }
     },
     requests: new Counter({
@@ -129,13 +129,13 @@
       buckets: LATENCY_BOUNDS_MS,
       registers,
     }),
-    attempts: tally({
+    attempts: createLabeledCounter({
       name: "rackvale_leaf_attempts_total",
       help: "Calls to leafs that ended, by outcome",
       labelName: "outcome",
       registers,
     }),
-    extraCalls: tally({
+    extraCalls: createLabeledCounter({
       name: "rackvale_extra_calls_total",
       help: "Calls beyond the first of a shard, by kind",
       labelName: "kind",
@@ -146,7 +146,7 @@
       help: "Parts that this box got and merged for boxes of other regions",
       registers,
     }),
-    quarantineChanges: tally({
+    quarantineChanges: createLabeledCounter({
       name: "rackvale_quarantine_changes_total",
       help: "Queries under which leafs were lost, by what is believed of them from then on",
       labelName: "standing",
@@ -158,21 +158,21 @@
       labelNames: ["kind", "outcome"],
       registers,
     }),
-    setStoreStats: storeGauges(registers),
+    setStoreStats: createStoreGauges(registers),
     linesDropped,
     metricsText: () => registry.metrics(),
     flush: () => {
       return new Promise((resolve) => {
-        // Not for long: a reader that has stopped must not hold up the end of the process.
-        setTimeout(() => resolve(false), LAST_WRITE_MS);
+        // A blocked log reader must not delay the exit of the process.
+        setTimeout(() => resolve(false), FLUSH_TIMEOUT_MS);
         sink.flush((error) => resolve(error === undefined || error === null));
       });
     },
   };
 }
 
-/** Writes out what is gathered a while after a line has come; a box without news is not woken up. */
-function flushedSoon(sink: sonicBoom.SonicBoom): { write(line: string): void } {
+/** Returns a stream that flushes the sink some time after a write, without a periodic timer. */
+function withDelayedFlush(sink: sonicBoom.SonicBoom): { write(line: string): void } {
   let isFlushDue = false;
   function flush(): void {
     isFlushDue = false;
@@ -183,13 +183,13 @@
       sink.write(line);
       if (!isFlushDue) {
         isFlushDue = true;
-        setTimeout(flush, FLUSH_EVERY_MS).unref();
+        setTimeout(flush, FLUSH_DELAY_MS).unref();
       }
     },
   };
 }
 
-function storeGauges(registers: Array<Registry>): BoxTelemetry["setStoreStats"] {
+function createStoreGauges(registers: Array<Registry>): BoxTelemetry["setStoreStats"] {
   const storeCalls = new Gauge({
     name: "rackvale_store_calls",
     help: "Calls to the platform's store since the start",
@@ -210,17 +210,22 @@
   };
 }
 
-interface TallyOptions {
+interface LabeledCounterOptions {
   readonly name: string;
   readonly help: string;
   readonly labelName: string;
   readonly registers: Array<Registry>;
 }
 
-/** A counter for the busiest paths: labels are looked up only when metrics are read. */
-function tally({ name, help, labelName, registers }: TallyOptions): LabeledCounter {
+/** Creates a counter for hot paths; the metric is only updated when metrics are read. */
+function createLabeledCounter({
+  name,
+  help,
+  labelName,
+  registers,
+}: LabeledCounterOptions): LabeledCounter {
   const counts = new Map<string, number>();
-  // Registers itself.
+  // The constructor adds the counter to the registers.
   new Counter({
     name,
     help,
--- a/telemetry/box_telemetry_test.ts
+++ b/telemetry/box_telemetry_test.ts
@@ -8,12 +8,12 @@
 import { until } from "../standins/waiting.js";
 import { createBoxTelemetry, MAX_REQUEST_LINES_PER_SECOND } from "./box_telemetry.js";
 
-/** A pipe that nobody reads until told to. */
+/** Creates a pipe that is not read until `read()` is called. */
 function unreadPipe() {
   const folder = mkdtempSync(join(tmpdir(), "rackvale-log-"));
   const path = join(folder, "log");
   spawnSync("mkfifo", [path]);
-  // Open for reading as well, so that opening does not wait for a reader to come.
+  // Opened for reading as well, because opening for writing only would block until there is a reader.
   const logFd = openSync(path, constants.O_RDWR);
   return {
     folder,
@@ -36,7 +36,7 @@
   return lines;
 }
 
-t.test("a reader that has stopped holds up nothing; lines are dropped and counted", async (t) => {
+t.test("a blocked log reader does not block the box; lines are dropped and counted", async (t) => {
   const { folder, logFd, read } = unreadPipe();
   t.teardown(() => rmSync(folder, { recursive: true }));
   const telemetry = createBoxTelemetry("b", { logFd });
@@ -49,13 +49,13 @@
   const input = read();
   const first = await readLines(input, (line) => line.includes('"number":10,'));
   t.equal(first.length, 11);
-  // What waited is read to its end, so that no write is left under way.
+  // Drains the pipe so that no write is pending when the test ends.
   input.resume();
-  await until(() => telemetry.flush(), "all is written");
+  await until(() => telemetry.flush(), "all lines are written");
   input.destroy();
 });
 
-t.test("lines of requests are bounded in each second", async (t) => {
+t.test("request log lines are limited per second", async (t) => {
   const { folder, logFd, read } = unreadPipe();
   t.teardown(() => rmSync(folder, { recursive: true }));
   const telemetry = createBoxTelemetry("b", { logFd });
@@ -67,7 +67,7 @@
   const reading = readLines(input, (line) => line.includes("test: last"));
   await telemetry.flush();
   const lines = (await reading).filter((line) => line.includes("request: answered"));
-  // The loop may run over the end of a second, hardly over two.
+  // The loop may cross the end of a second, but hardly two of them.
   t.ok(
     lines.length >= MAX_REQUEST_LINES_PER_SECOND &&
       lines.length <= 3 * MAX_REQUEST_LINES_PER_SECOND,
--- a/telemetry/run_telemetry.ts
+++ b/telemetry/run_telemetry.ts
@@ -1,5 +1,5 @@
 /**
- * Writes what the cores tell: log lines by bunyan, metrics by hot-shots.
+ * Writes the telemetry effects of the state machines: log lines with bunyan, metrics with hot-shots.
  *
  * @module
  */
@@ -7,32 +7,32 @@
 import { StatsD } from "hot-shots";
 import type { TelemetryEffect } from "../core/mod.js";
 
-/** Settings of logs and metrics. */
+/** Options of {@link startTelemetry}. */
 export interface TelemetryOptions {
   /** Name of the program. */
   readonly name: string;
   readonly logLevel: bunyan.LogLevelString;
-  /** Fields on each log line. */
+  /** Fields of each log line. */
   readonly fields: Readonly<Record<string, string>>;
   /** Address of a StatsD server; empty for none. */
   readonly statsdAddress: string;
   readonly statsdPort: number;
 }
 
-/** Takes effects that only tell about decisions. */
+/** Writer of logs and metrics. */
 export interface Telemetry {
-  /** Writes one effect. */
+  /** Writes the log line or metric of an effect. */
   run(effect: TelemetryEffect): void;
-  /** Counts so far by metric and the values of its tags, for reports. */
+  /** Returns the counts so far by metric and tag values, for reports. */
   counts(): Readonly<Record<string, number>>;
-  /** Flushes and closes. */
+  /** Flushes and closes the connection to the StatsD server. */
   close(): void;
 }
 
 /**
  * Starts logs and metrics.
  *
- * @param options - Their settings.
+ * @param options - Names, log level and StatsD server.
  * @returns The writer.
  */
 export function startTelemetry(options: TelemetryOptions): Telemetry {
