--- a/lifecycle/daemon_lifecycle.ts
+++ b/lifecycle/daemon_lifecycle.ts
@@ -1,22 +1,22 @@
 /**
- * The states of a daemon's life as an xstate machine.
+ * The lifecycle of a daemon as an xstate machine.
  *
- * A daemon starts, becomes ready once it knows a configuration, and on a planned stop goes on
- * serving until callers' cached advice has run out, then finishes what is in flight and ends. A
- * second request to stop changes nothing.
+ * A daemon starts and becomes ready once it has a configuration. On a planned stop it keeps serving
+ * until callers' cached address lists have expired, then completes open requests and stops. A second
+ * stop request has no effect.
  *
  * @module
  */
 import { createActor, type SnapshotFrom, setup, transition } from "xstate";
 
-/** What moves a daemon through its life. */
+/** Event that may change the phase of a daemon. */
 export type LifecycleEvent =
   | { readonly type: "configured" }
   | { readonly type: "stopRequested" }
   | { readonly type: "adviceExpired" }
   | { readonly type: "drained" };
 
-/** Where a daemon stands in its life. */
+/** Phase of a daemon. */
 export type LifecyclePhase = "starting" | "ready" | "leaving" | "finishing" | "stopped";
 
 const MACHINE = setup({ types: { events: {} as LifecycleEvent } }).createMachine({
@@ -31,27 +31,27 @@
   },
 });
 
-/** A daemon's place in its life. */
+/** State of a daemon's lifecycle. */
 export type Lifecycle = SnapshotFrom<typeof MACHINE>;
 
-/** The life of a daemon that has just started. */
+/** State of a daemon that has just started. */
 export const INITIAL_LIFECYCLE: Lifecycle = createActor(MACHINE).getSnapshot();
 
 /**
- * Moves a daemon through its life.
+ * Applies an event to a lifecycle.
  *
- * @param lifecycle - Where it stands.
- * @param type - What happened.
- * @returns Where it stands after that; an event that does not fit changes nothing.
+ * @param lifecycle - Current state.
+ * @param type - Type of the event.
+ * @returns The next state; unchanged if the event does not apply to the current phase.
  */
 export function transitionLifecycle(lifecycle: Lifecycle, type: LifecycleEvent["type"]): Lifecycle {
   return transition(MACHINE, lifecycle, { type })[0];
 }
 
 /**
- * Names where a daemon stands.
+ * Returns the phase of a daemon.
  *
- * @param lifecycle - Its lifecycle.
+ * @param lifecycle - State of its lifecycle.
  * @returns The phase.
  */
 export function lifecyclePhase(lifecycle: Lifecycle): LifecyclePhase {
--- a/lifecycle/mod.ts
+++ b/lifecycle/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a daemon, from its start to its planned stop.
+ * The lifecycle of a daemon, from its start to its planned stop.
  *
  * @module
  */
