--- a/settings/mod.ts
+++ b/settings/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Settings by flag and environment variable, checked at start.
+ * Settings from flags and environment variables, validated at startup.
  *
  * @module
  */
--- a/settings/parse_settings.ts
+++ b/settings/parse_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a program's settings and names all faults at once.
+ * Parses a program's settings and reports all errors together.
  *
  * @module
  */
@@ -7,69 +7,70 @@
 import { err, ok, type Result } from "neverthrow";
 import { SETTING_PARSERS, type SettingSpecs, type SettingValues } from "./setting_spec.js";
 
-/** A program's settings as read. */
+/** Values of a program's settings. */
 export type Settings<Specs extends SettingSpecs> = {
   readonly [Name in keyof Specs]: SettingValues[Specs[Name]["kind"]];
 };
 
-/** Where settings come from. */
+/** Sources of settings. */
 export interface SettingSource {
   readonly args: ReadonlyArray<string>;
   readonly env: Readonly<Record<string, string | undefined>>;
 }
 
-/** Settings with the words that are not flags. */
+/** Settings and positional arguments. */
 export interface ParsedSettings<Specs extends SettingSpecs> {
   readonly settings: Settings<Specs>;
   readonly positionals: ReadonlyArray<string>;
-  /** Whether help was asked for; the settings are not to be used then. */
+  /** Whether `--help` was given; the settings may be incomplete in that case. */
   readonly help: boolean;
 }
 
 /**
- * Reads settings: a flag goes before its environment variable, that before the fallback.
+ * Parses settings. A flag takes precedence over its environment variable, which takes precedence over the
+ * fallback.
  *
- * @param specs - The program's settings.
+ * @param specs - Specifications of the settings.
  * @param source - Arguments and environment.
- * @returns The settings, or a sentence for each fault.
+ * @returns The settings, or a message for each error.
  */
 export function parseSettings<Specs extends SettingSpecs>(
   specs: Specs,
   { args, env }: SettingSource,
 ): Result<ParsedSettings<Specs>, ReadonlyArray<string>> {
-  const faults: Array<string> = [];
-  const { values, positionals } = readArgs(specs, args, faults);
+  const errors: Array<string> = [];
+  const { values, positionals } = parseFlags(specs, args, errors);
   const help = values.help === true;
   const settings: Record<string, string | number | boolean> = {};
   for (const [name, spec] of Object.entries(specs)) {
-    const given = values[name] ?? env[envVariableName(name)] ?? spec.fallback;
-    if (given === undefined) {
-      faults.push(`Cannot start: --${name} (or ${envVariableName(name)}) is missing`);
+    const value = values[name] ?? env[envVariableName(name)] ?? spec.fallback;
+    if (value === undefined) {
+      errors.push(`Cannot start: --${name} (or ${envVariableName(name)}) is missing`);
       continue;
     }
-    const read = SETTING_PARSERS[spec.kind](String(given), spec);
-    if (read.isErr()) {
-      faults.push(`Cannot accept --${name} "${given}": ${read.error}`);
+    const parsed = SETTING_PARSERS[spec.kind](String(value), spec);
+    if (parsed.isErr()) {
+      errors.push(`Cannot accept --${name} "${value}": ${parsed.error}`);
     } else {
-      settings[name] = read.value;
+      settings[name] = parsed.value;
     }
   }
-  if (faults.length > 0 && !help) {
-    return err(faults);
+  if (errors.length > 0 && !help) {
+    return err(errors);
   }
-  return ok({ settings: settings as Settings<Specs>, positionals: positionals, help });
+  return ok({ settings: settings as Settings<Specs>, positionals, help });
 }
 
-interface ReadArgs {
+interface ParsedArgs {
   readonly values: Readonly<Record<string, string | boolean | undefined>>;
   readonly positionals: ReadonlyArray<string>;
 }
 
-function readArgs(
+function parseFlags(
   specs: SettingSpecs,
   args: ReadonlyArray<string>,
-  faults: Array<string>,
-): ReadArgs {
+  errors: Array<string>,
+): ParsedArgs {
   const options = Object.fromEntries([
     ["help", { type: "boolean" as const }],
     ...Object.entries(specs).map(([name, { kind }]) => {
@@ -88,13 +89,13 @@
   });
   for (const token of parsed.tokens) {
     if (token.kind === "option" && options[token.name] === undefined) {
-      faults.push(`Cannot accept ${token.rawName}: unknown flag`);
+      errors.push(`Cannot accept ${token.rawName}: unknown flag`);
     } else if (
       token.kind === "option" &&
       needsValue(options, token.name) &&
       token.value === undefined
     ) {
-      faults.push(`Cannot accept ${token.rawName}: it needs a value`);
+      errors.push(`Cannot accept ${token.rawName}: it needs a value`);
     }
   }
   const values = Object.fromEntries(
@@ -102,7 +103,7 @@
       return !(needsValue(options, name) && typeof value === "boolean");
     }),
   );
-  return { values: values as ReadArgs["values"], positionals: parsed.positionals };
+  return { values: values as ParsedArgs["values"], positionals: parsed.positionals };
 }
 
 function needsValue(
@@ -113,7 +114,7 @@
 }
 
 /**
- * Names the environment variable of a flag.
+ * Returns the name of a flag's environment variable.
  *
  * @param name - Name of the flag.
  * @returns The variable's name.
@@ -123,27 +124,28 @@
 }
 
 /**
- * Writes a program's help.
+ * Formats a program's help text.
  *
- * @param usage - First line: how it is called.
- * @param specs - Its settings.
- * @returns The help with each flag, its variable, its default and what it is for.
+ * @param usage - First line: the usage.
+ * @param specs - Specifications of the settings.
+ * @returns The help text with the purpose, variable and default of each flag.
  */
 export function helpText(usage: string, specs: SettingSpecs): string {
   const lines = Object.entries(specs).map(([name, { kind, help, fallback }]) => {
     const value = kind === "flag" ? "" : ` ${kind.toUpperCase()}`;
-    const rest = fallback === undefined ? "must be given" : `default "${fallback}"`;
-    return `  --${name}${value}\n      ${help} (${envVariableName(name)}; ${rest})`;
+    const requirement = fallback === undefined ? "required" : `default "${fallback}"`;
+    return `  --${name}${value}\n      ${help} (${envVariableName(name)}; ${requirement})`;
   });
-  return [usage, "", "Settings:", ...lines, "  --help", "      Prints this.", ""].join("\n");
+  return [usage, "", "Settings:", ...lines, "  --help", "      Prints this help.", ""].join("\n");
 }
 
 /**
- * Reads a program's settings, or ends it: exit 0 after help, exit 2 with a line for each fault.
+ * Parses the settings of this process. Exits with code 0 after printing help, and with code 2 after printing a
+ * line for each error.
  *
  * @param usage - First line of the help.
- * @param specs - The program's settings.
- * @returns The settings and the words that are not flags.
+ * @param specs - Specifications of the settings.
+ * @returns The settings and positional arguments.
  */
 export function parseSettingsOrExit<Specs extends SettingSpecs>(
   usage: string,
--- a/settings/setting_spec.ts
+++ b/settings/setting_spec.ts
@@ -1,27 +1,27 @@
 /**
- * Kinds of settings and how each is read.
+ * Kinds of settings and the parser of each.
  *
  * @module
  */
 import { isIP } from "node:net";
 import { err, ok, type Result } from "neverthrow";
 
-/** One setting of a program. */
+/** Specification of one setting. */
 export interface SettingSpec {
   readonly kind: "text" | "number" | "address" | "port" | "flag" | "choice" | "url";
-  /** What it is for, with its unit. */
+  /** Purpose and unit. */
   readonly help: string;
-  /** Value as text when none is given; without one the setting must be given. */
+  /** Default value as text; a setting without one is required. */
   readonly fallback?: string;
   readonly min?: number;
   readonly max?: number;
   readonly choices?: ReadonlyArray<string>;
 }
 
-/** A program's settings by flag name. */
+/** Specifications of a program's settings, by flag name. */
 export type SettingSpecs = Readonly<Record<string, SettingSpec>>;
 
-/** What a setting of some kind holds. */
+/** Types of the values, by kind of setting. */
 export interface SettingValues {
   readonly text: string;
   readonly number: number;
@@ -32,15 +32,14 @@
   readonly url: string;
 }
 
-type Reader = (text: string, spec: SettingSpec) => Result<string | number | boolean, string>;
+type Parser = (text: string, spec: SettingSpec) => Result<string | number | boolean, string>;
 
-/** How each kind of setting is read from text. */
-export const SETTING_PARSERS: Readonly<Record<SettingSpec["kind"], Reader>> = {
+/** Parsers by kind of setting. */
+export const SETTING_PARSERS: Readonly<Record<SettingSpec["kind"], Parser>> = {
   text: (text) => ok(text),
-  number: (text, { min: least = 0, max: most = Number.MAX_SAFE_INTEGER }) =>
-    readNumber(text, least, most),
+  number: (text, { min = 0, max = Number.MAX_SAFE_INTEGER }) => parseNumber(text, min, max),
   address: (text) => (text === "" || isIP(text) > 0 ? ok(text) : err("expected an IP address")),
-  port: (text) => readNumber(text, 0, 65_535),
+  port: (text) => parseNumber(text, 0, 65_535),
   flag: (text) =>
     text === "true" || text === "false" ? ok(text === "true") : err("expected true or false"),
   choice: (text, { choices = [] }) =>
@@ -49,9 +48,9 @@
     text === "" || /^https?:\/\/[^/]+$/.test(text) ? ok(text) : err("expected http://address:port"),
 };
 
-function readNumber(text: string, least: number, most: number): Result<number, string> {
+function parseNumber(text: string, min: number, max: number): Result<number, string> {
   const value = Number(text);
-  return text.trim() !== "" && Number.isFinite(value) && value >= least && value <= most
+  return text.trim() !== "" && Number.isFinite(value) && value >= min && value <= max
     ? ok(value)
-    : err(`expected a number from ${least} to ${most}`);
+    : err(`expected a number from ${min} to ${max}`);
 }
