--- a/catalog/catalog.ts
+++ b/catalog/catalog.ts
@@ -1,5 +1,5 @@
 /**
- * The catalog: the objects a daemon knows, each only ever replaced by a higher revision.
+ * The catalog of objects known to a daemon; an object is only replaced by a higher revision.
  *
  * @module
  */
@@ -24,27 +24,27 @@
   readonly dataCentre: string;
 }
 
-/** A service as the decisions use it. */
+/** A service indexed for queries. */
 export interface ServiceEntry {
   readonly config: ServiceConfig;
   readonly revision: number;
   readonly programs: Programs;
   readonly leafs: ReadonlyMap<string, Leaf>;
-  /** Slots of all leafs together. */
+  /** Total number of slots of all leafs. */
   readonly slotCount: number;
 }
 
-/** All objects that a daemon knows. */
+/** All objects known to a daemon. */
 export interface Catalog {
   readonly objects: ImmutableMap<string, CatalogObject>;
-  /** The same number on two daemons exactly when they hold the same revisions, but for chance. */
+  /** Hash of all revisions, for comparing the catalogs of two daemons. */
   readonly hash: number;
   readonly services: ImmutableMap<string, ServiceEntry>;
   readonly shardMaps: ImmutableMap<string, ShardMap>;
   readonly boxList: BoxList;
 }
 
-/** A catalog without objects. */
+/** An empty catalog. */
 export const EMPTY_CATALOG: Catalog = {
   objects: ImmutableMap(),
   hash: 0,
@@ -54,10 +54,10 @@
 };
 
 /**
- * Names an object among all kinds.
+ * Returns the key of an object, unique among all kinds.
  *
  * @param kind - Kind of the object.
- * @param name - Its name.
+ * @param name - Name of the object.
  * @returns The key.
  */
 export function objectKey(kind: ObjectKind, name: string): string {
@@ -65,12 +65,12 @@
 }
 
 /**
- * Takes in objects; those that are not newer than the copy held are passed over, so that nothing
- * ever goes back.
+ * Applies objects to a catalog. Objects that are not newer than the stored copy are ignored, so
+ * revisions never decrease.
  *
- * @param catalog - The catalog so far.
- * @param objects - Objects from the platform, a peer or a submission, already checked.
- * @returns The catalog after that, and the objects that were newer.
+ * @param catalog - The catalog.
+ * @param objects - Validated objects from the platform, a peer or a submission.
+ * @returns The updated catalog, and the objects that were newer.
  */
 export function applyObjects(
   catalog: Catalog,
@@ -79,26 +79,26 @@
   const adopted: Array<CatalogObject> = [];
   let next = catalog;
   for (const object of objects) {
-    const held = next.objects.get(objectKey(object.kind, object.name));
-    if (held === undefined || object.revision > held.revision) {
-      next = adoptOne(next, object, held);
+    const current = next.objects.get(objectKey(object.kind, object.name));
+    if (current === undefined || object.revision > current.revision) {
+      next = applyOne(next, object, current);
       adopted.push(object);
     }
   }
   return { catalog: next, adopted };
 }
 
-function adoptOne(
+function applyOne(
   catalog: Catalog,
   object: CatalogObject,
-  held: CatalogObject | undefined,
+  current: CatalogObject | undefined,
 ): Catalog {
   const key = objectKey(object.kind, object.name);
-  const withoutHeld = held === undefined ? 0 : revisionHash(key, held.revision);
+  const currentHash = current === undefined ? 0 : revisionHash(key, current.revision);
   const stored: Catalog = {
     ...catalog,
     objects: catalog.objects.set(key, object),
-    hash: (catalog.hash ^ withoutHeld ^ revisionHash(key, object.revision)) >>> 0,
+    hash: (catalog.hash ^ currentHash ^ revisionHash(key, object.revision)) >>> 0,
   };
   return INDEXERS[object.kind](stored, object);
 }
@@ -119,7 +119,7 @@
     return { ...catalog, services: catalog.services.delete(object.name) };
   }
   const config = object.value as ServiceConfig;
-  // A program that this version cannot compile counts as absent: the safe defaults hold.
+  // Policies that this version cannot compile are treated as absent, so the safe defaults apply.
   const programs = compilePolicies(config.policies).unwrapOr({});
   const leafs = leafsOf(config);
   const slotCount = [...leafs.values()].reduce((sum, leaf) => sum + leaf.slots, 0);
--- a/catalog/mod.ts
+++ b/catalog/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Every daemon's copy of the objects that last.
+ * Every daemon's copy of the persistent configuration objects.
  *
  * @module
  */
--- a/catalog/submit_object.ts
+++ b/catalog/submit_object.ts
@@ -1,9 +1,9 @@
 /**
- * Writes a change of configuration to the platform so that it is clear who won.
+ * Submits a configuration change to the platform with optimistic concurrency control.
  *
- * A change is accepted when a conditional write took effect. Where a reply is lost, the same write
- * is sent again: it can only take effect once, since it names the version it replaces, and the
- * object's history tells whether it was this submission that did.
+ * A change is accepted when a conditional write took effect. If a reply does not arrive, the write is
+ * retried: it can only take effect once because it names the version that it replaces, and the
+ * object's history shows whether this submission made the change.
  *
  * @module
  */
@@ -16,90 +16,90 @@
 import type { PlatformPort, VersionedObject } from "../platform/platform_port.js";
 import { objectKey } from "./catalog.js";
 
-/** A change that an operator submits. */
+/** A change submitted by an operator. */
 export interface Submission {
   readonly kind: ObjectKind;
   readonly name: string;
-  /** New value, already checked; nothing when the object is to be removed. */
+  /** New value, already validated; ignored if the object is to be deleted. */
   readonly value: unknown;
   readonly deleted: boolean;
-  /** Never the same for two submissions; the same when one is sent again. */
+  /** Unique per submission; retries of a submission use the same id. */
   readonly submissionId: string;
   readonly author: string;
-  /** Revision that the operator has seen and means to replace; 0 for a new object. */
+  /** Revision that the operator intends to replace; 0 for a new object. */
   readonly baseRevision: number;
   readonly submittedAtEpochMs: number;
 }
 
-/** What became of a submission. */
+/** Outcome of a submission. */
 export type SubmitOutcome =
   | {
       readonly kind: "accepted";
-      /** Revision that this submission made. */
+      /** Revision that this submission created. */
       readonly revision: number;
-      /** The object as it stands now; a later change may be in it already. */
+      /** Current object, which may already include later changes. */
       readonly object: CatalogObject;
     }
   | { readonly kind: "conflict"; readonly winner: CatalogObject | undefined }
-  /** It may take effect later; asking again with the same submission id settles it. */
+  /** The change may or may not take effect; submitting it again with the same id resolves this. */
   | { readonly kind: "unclear"; readonly message: string }
   | { readonly kind: "notRun"; readonly message: string };
 
-/** How a submission is carried out. */
+/** Options of {@link submitObject}. */
 export interface SubmitOptions {
-  /** Highest revision of the object that this box knows. */
+  /** Highest revision of the object known to this box. */
   readonly knownRevision: number;
-  /** Tries before an outcome is given up as unclear. */
+  /** Maximum number of attempts. */
   readonly maxAttempts?: number;
-  /** Waits between tries; a promise that resolves at once in tests. */
-  readonly pause: (tryNumber: number) => Promise<void>;
+  /** Waits between attempts; tests may resolve immediately. */
+  readonly pause: (attempt: number) => Promise<void>;
 }
 
-const DEFAULT_TRIES = 5;
+const DEFAULT_MAX_ATTEMPTS = 5;
 
 /**
  * Submits a change.
  *
  * @param platform - The platform.
  * @param submission - The change.
- * @param options - What this box knows and how long to try.
- * @returns What became of it.
+ * @param options - Known revision and retry behaviour.
+ * @returns The outcome.
  */
 export async function submitObject(
   platform: PlatformPort,
   submission: Submission,
   options: SubmitOptions,
 ): Promise<SubmitOutcome> {
-  const tries = options.maxAttempts ?? DEFAULT_TRIES;
+  const maxAttempts = options.maxAttempts ?? DEFAULT_MAX_ATTEMPTS;
   let maySent = false;
   let message = "";
-  for (let tryNumber = 1; tryNumber <= tries; tryNumber++) {
-    const tried = await tryOnce(platform, submission, options.knownRevision);
-    if (tried.kind === "settled") {
-      return tried.outcome;
+  for (let attempt = 1; attempt <= maxAttempts; attempt++) {
+    const result = await attemptOnce(platform, submission, options.knownRevision);
+    if (result.kind === "settled") {
+      return result.outcome;
     }
-    maySent = maySent || tried.maySent;
-    message = tried.message;
-    await options.pause(tryNumber);
+    maySent = maySent || result.maySent;
+    message = result.message;
+    await options.pause(attempt);
   }
   return maySent ? { kind: "unclear", message } : { kind: "notRun", message };
 }
 
-type Tried =
+type AttemptResult =
   | { readonly kind: "settled"; readonly outcome: SubmitOutcome }
   | { readonly kind: "open"; readonly maySent: boolean; readonly message: string };
 
-async function tryOnce(
+async function attemptOnce(
   platform: PlatformPort,
   submission: Submission,
   knownRevision: number,
-): Promise<Tried> {
+): Promise<AttemptResult> {
   const key = objectKey(submission.kind, submission.name);
   const read = await platform.readObject(key);
   if (read.isErr()) {
     return { kind: "open", maySent: false, message: read.error.message };
   }
-  const settled = settledBy(read.value, submission, knownRevision);
+  const settled = resolveOutcome(read.value, submission, knownRevision);
   if (settled !== undefined) {
     return { kind: "settled", outcome: settled };
   }
@@ -110,24 +110,24 @@
     return { kind: "settled", outcome: { kind: "accepted", revision, object } };
   }
   const { kind, message } = written.error;
-  // After a conflict the next read tells who won: this submission, sent before, or another.
+  // After a conflict the next read shows whether an earlier attempt of this submission or another one won.
   return { kind: "open", maySent: kind !== "unreachable" && kind !== "conflict", message };
 }
 
-function settledBy(
+function resolveOutcome(
   { object }: VersionedObject,
   { submissionId, baseRevision }: Submission,
   knownRevision: number,
 ): SubmitOutcome | undefined {
-  const own = object?.history.find((entry) => entry.submissionId === submissionId);
-  if (object !== undefined && own !== undefined) {
-    return { kind: "accepted", revision: own.revision, object };
+  const ownEntry = object?.history.find((entry) => entry.submissionId === submissionId);
+  if (object !== undefined && ownEntry !== undefined) {
+    return { kind: "accepted", revision: ownEntry.revision, object };
   }
   const stored = object?.revision ?? 0;
   const replaced = object?.deleted === true ? [0, stored] : [stored];
-  // A platform that was set back holds less than is in force; what is in force is replaced then.
-  const wasSetBack = stored < knownRevision && baseRevision === knownRevision;
-  return wasSetBack || replaced.includes(baseRevision)
+  // A platform restored from a backup may store an older revision than the one in use, which is then replaced.
+  const wasRestored = stored < knownRevision && baseRevision === knownRevision;
+  return wasRestored || replaced.includes(baseRevision)
     ? undefined
     : { kind: "conflict", winner: object };
 }
@@ -138,7 +138,7 @@
   knownRevision: number,
 ): CatalogObject {
   const { kind, name, value, deleted, submissionId, author, submittedAtEpochMs } = submission;
-  // A platform that was set back must not hand out a revision that boxes already hold.
+  // A platform restored from a backup must not assign a revision that boxes already have.
   const revision = Math.max(current?.revision ?? 0, knownRevision) + 1;
   const entry: HistoryEntry = { revision, submissionId, author, submittedAtEpochMs };
   const history = [entry, ...(current?.history ?? [])].slice(0, HISTORY_ENTRIES);
--- a/catalog/submit_object_test.ts
+++ b/catalog/submit_object_test.ts
@@ -4,10 +4,10 @@
 import type { PlatformError, PlatformPort } from "../platform/platform_port.js";
 import { type Submission, submitObject } from "./submit_object.js";
 
-const UNCLEAR: PlatformError = { kind: "unclear", message: "lost" };
+const UNCLEAR: PlatformError = { kind: "unclear", message: "no reply" };
 
-/** A platform in memory whose writes can lose their effect or their reply. */
-function fakePlatform(script: Array<"ok" | "lost reply" | "lost write" | "down">) {
+/** Creates an in-memory platform whose writes or replies can be made to fail. */
+function fakePlatform(script: Array<"ok" | "reply dropped" | "write dropped" | "down">) {
   let stored: { readonly version: number; readonly object: CatalogObject | undefined } = {
     version: 0,
     object: undefined,
@@ -18,8 +18,8 @@
     readBoxList: () => okAsync({ version: 1, boxes: [] }),
     readObject: () => (script[0] === "down" ? errAsync(UNCLEAR) : okAsync(stored)),
     writeObject: (_key, object, { expectedVersion }) => {
-      const fate = script.shift() ?? "ok";
-      if (fate === "lost write") {
+      const result = script.shift() ?? "ok";
+      if (result === "write dropped") {
         return errAsync(UNCLEAR);
       }
       if (expectedVersion !== stored.version) {
@@ -27,7 +27,7 @@
       }
       stored = { version: stored.version + 1, object };
       writes += 1;
-      return fate === "ok" ? okAsync(stored.version) : errAsync(UNCLEAR);
+      return result === "ok" ? okAsync(stored.version) : errAsync(UNCLEAR);
     },
   };
   return { platform, stored: () => stored, writes: () => writes };
@@ -48,38 +48,41 @@
 
 const OPTIONS = { knownRevision: 0, pause: async () => undefined };
 
-t.test("submitObject() settles a lost reply by the submission's own id", async (t) => {
-  const fake = fakePlatform(["lost reply"]);
+t.test("submitObject() detects by the submission id that a write took effect", async (t) => {
+  const fake = fakePlatform(["reply dropped"]);
   const outcome = await submitObject(fake.platform, submission("ann", 0), OPTIONS);
   t.equal(outcome.kind, "accepted");
   t.equal(fake.writes(), 1, "it took effect once");
 });
 
-t.test("submitObject() writes again when the write itself was lost", async (t) => {
-  const fake = fakePlatform(["lost write", "ok"]);
+t.test("submitObject() retries a write that did not take effect", async (t) => {
+  const fake = fakePlatform(["write dropped", "ok"]);
   const outcome = await submitObject(fake.platform, submission("ann", 0), OPTIONS);
   t.equal(outcome.kind, "accepted");
   t.equal(fake.stored().object?.revision, 1);
 });
 
-t.test("submitObject() lets one of two racing operators win and names it", async (t) => {
-  const fake = fakePlatform([]);
-  await submitObject(fake.platform, submission("ann", 0), OPTIONS);
-  const outcome = await submitObject(fake.platform, submission("ben", 0), OPTIONS);
-  t.match(outcome, { kind: "conflict", winner: { history: [{ author: "ann" }] } });
-});
+t.test(
+  "submitObject() accepts one of two concurrent submissions and returns the winner",
+  async (t) => {
+    const fake = fakePlatform([]);
+    await submitObject(fake.platform, submission("ann", 0), OPTIONS);
+    const outcome = await submitObject(fake.platform, submission("ben", 0), OPTIONS);
+    t.match(outcome, { kind: "conflict", winner: { history: [{ author: "ann" }] } });
+  },
+);
 
-t.test("submitObject() says unclear only after something may have been sent", async (t) => {
+t.test("submitObject() returns unclear only if a write may have been sent", async (t) => {
   const down = fakePlatform(["down"]);
   const notSent = await submitObject(down.platform, submission("ann", 0), OPTIONS);
   t.equal(notSent.kind, "notRun");
-  const lossy = fakePlatform(["lost write", "lost write", "lost write"]);
+  const lossy = fakePlatform(["write dropped", "write dropped", "write dropped"]);
   const options = { ...OPTIONS, maxAttempts: 3 };
   t.equal((await submitObject(lossy.platform, submission("ann", 0), options)).kind, "unclear");
 });
 
 t.test(
-  "submitObject() goes above the known revision after the platform was set back",
+  "submitObject() exceeds the known revision after the platform was restored from a backup",
   async (t) => {
     const fake = fakePlatform([]);
     await submitObject(fake.platform, submission("ann", 0), OPTIONS);
@@ -89,14 +92,14 @@
   },
 );
 
-t.test("submitObject() tells its own revision when a later change stands above it", async (t) => {
-  const fake = fakePlatform(["lost reply"]);
-  let isBetween = true;
+t.test("submitObject() returns its own revision when a later change follows", async (t) => {
+  const fake = fakePlatform(["reply dropped"]);
+  let isFirstPause = true;
   const outcome = await submitObject(fake.platform, submission("ann", 0), {
     knownRevision: 0,
     pause: async () => {
-      if (isBetween) {
-        isBetween = false;
+      if (isFirstPause) {
+        isFirstPause = false;
         await submitObject(fake.platform, submission("ben", 1), OPTIONS);
       }
     },
