--- a/tickets/mod.ts
+++ b/tickets/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Tickets: how a query that is not repeatable runs at most once.
+ * Tickets, which ensure that a non-repeatable query runs at most once.
  *
  * @module
  */
--- a/tickets/tickets.ts
+++ b/tickets/tickets.ts
@@ -1,41 +1,41 @@
 /**
- * The tickets that one entry handed out and what became of the queries sent under them.
+ * The tickets issued by an entry and the state of the queries sent with them.
  *
- * A ticket names the incarnation of the entry that made it. Only that incarnation runs its queries,
- * and it remembers which sequence numbers it has seen, in memory alone: when it is gone, nobody can
- * run them, and the outcome is unknown. No lease and no write to the platform takes part.
+ * A ticket names the incarnation of the entry that issued it. Only that incarnation runs its queries,
+ * and it remembers used sequence numbers in memory only. After it has terminated, none of them can run
+ * any more and their outcome is unknown. Neither leases nor writes to the platform are needed.
  *
  * @module
  */
 import { Map as ImmutableMap } from "immutable";
 import { type QueryAnswer, TICKET_TTL_MS } from "../model/mod.js";
 
-/** Sequence numbers remembered for each ticket. */
+/** Number of sequence numbers remembered for each ticket. */
 export const TICKET_WINDOW = 64;
 
-/** Time that a ticket is remembered after callers may no longer use it, in milliseconds. */
+/** Time for which an expired ticket is remembered, in milliseconds. */
 const TICKET_GRACE_MS = 120_000;
 
-/** What is known of one sequence number. */
+/** State of the query with one sequence number. */
 export type TicketUse =
   | { readonly kind: "running"; readonly queryId: string }
   | { readonly kind: "finished"; readonly answer: QueryAnswer };
 
-/** One ticket in use. */
+/** State of one ticket. */
 interface TicketRecord {
   readonly uses: ImmutableMap<number, TicketUse>;
   readonly highestSequence: number;
-  readonly usableUntilMs: number;
+  readonly expiresAtMs: number;
 }
 
-/** All tickets of an entry. */
+/** The tickets of an entry. */
 export interface TicketRegistry {
   readonly incarnation: string;
   readonly issuedCount: number;
   readonly records: ImmutableMap<string, TicketRecord>;
 }
 
-/** What may be done with a query that comes under a ticket. */
+/** How to handle a query with a ticket. */
 export type TicketDecision =
   | { readonly kind: "run" }
   | { readonly kind: "join"; readonly queryId: string }
@@ -44,64 +44,64 @@
   | { readonly kind: "cannotTell"; readonly message: string };
 
 /**
- * Starts without any ticket.
+ * Creates an empty registry.
  *
- * @param incarnation - This run of the entry.
- * @returns The tickets.
+ * @param incarnation - Incarnation of the entry.
+ * @returns The registry.
  */
 export function createTicketRegistry(incarnation: string): TicketRegistry {
   return { incarnation, issuedCount: 0, records: ImmutableMap() };
 }
 
 /**
- * Hands out a ticket and forgets those long out of use.
+ * Issues a ticket and removes those that expired long ago.
  *
- * @param tickets - Tickets so far.
- * @param options - The present moment.
- * @returns The ticket and the tickets after that.
+ * @param registry - The tickets.
+ * @param options - Current time, in milliseconds.
+ * @returns The ticket and the updated registry.
  */
 export function issueTicket(
-  tickets: TicketRegistry,
+  registry: TicketRegistry,
   { nowMs }: { readonly nowMs: number },
 ): { readonly ticket: string; readonly tickets: TicketRegistry } {
-  const issued = tickets.issuedCount + 1;
-  const ticket = `${tickets.incarnation}~${issued}`;
-  const kept = tickets.records.filter((each) => nowMs < each.usableUntilMs + TICKET_GRACE_MS);
+  const issuedCount = registry.issuedCount + 1;
+  const ticket = `${registry.incarnation}~${issuedCount}`;
+  const remaining = registry.records.filter((each) => nowMs < each.expiresAtMs + TICKET_GRACE_MS);
   const record: TicketRecord = {
     uses: ImmutableMap(),
     highestSequence: 0,
-    usableUntilMs: nowMs + TICKET_TTL_MS,
+    expiresAtMs: nowMs + TICKET_TTL_MS,
   };
   return {
     ticket,
-    tickets: { ...tickets, issuedCount: issued, records: kept.set(ticket, record) },
+    tickets: { ...registry, issuedCount, records: remaining.set(ticket, record) },
   };
 }
 
-/** A query's place under a ticket. */
+/** Ticket and sequence number of a query. */
 export interface TicketPosition {
   readonly ticket: string;
   readonly sequence: number;
 }
 
 /**
- * Decides what may be done with a query under a ticket.
+ * Decides how to handle a query with a ticket.
  *
- * @param tickets - Tickets of this entry.
- * @param place - The ticket and the sequence number.
- * @param options - The present moment.
- * @returns The verdict; `run` only for a sequence number that was never run here.
+ * @param registry - The tickets.
+ * @param position - Ticket and sequence number of the query.
+ * @param options - Current time, in milliseconds.
+ * @returns The decision; `run` only for a sequence number that was never run here.
  */
 export function checkTicket(
-  tickets: TicketRegistry,
+  registry: TicketRegistry,
   { ticket, sequence }: TicketPosition,
   { nowMs }: { readonly nowMs: number },
 ): TicketDecision {
   const incarnation = ticket.split("~")[0] ?? "";
-  if (incarnation !== tickets.incarnation) {
+  if (incarnation !== registry.incarnation) {
     return { kind: "elsewhere", incarnation };
   }
-  const record = tickets.records.get(ticket);
+  const record = registry.records.get(ticket);
   if (record === undefined) {
     return {
       kind: "cannotTell",
@@ -120,58 +120,61 @@
       message: "Cannot tell whether the query ran: sequence is too old",
     };
   }
-  if (nowMs > record.usableUntilMs) {
+  if (nowMs > record.expiresAtMs) {
     return { kind: "cannotTell", message: "Cannot tell whether the query ran: ticket has expired" };
   }
   return { kind: "run" };
 }
 
 /**
- * Notes that a query under a ticket runs.
+ * Records that a query with a ticket is running.
  *
- * @param tickets - Tickets so far.
- * @param place - The ticket and the sequence number.
- * @param queryId - The query.
- * @returns The tickets after that.
+ * @param registry - The tickets.
+ * @param position - Ticket and sequence number of the query.
+ * @param queryId - Id of the query.
+ * @returns The updated registry.
  */
 export function recordRunning(
-  tickets: TicketRegistry,
-  place: TicketPosition,
+  registry: TicketRegistry,
+  position: TicketPosition,
   queryId: string,
 ): TicketRegistry {
-  return setUse(tickets, place, { kind: "running", queryId });
+  return setUse(registry, position, { kind: "running", queryId });
 }
 
 /**
- * Notes the answer of a query under a ticket. A query known not to have run is taken off, so that
- * the same sequence number may be sent again.
+ * Records the answer of a query with a ticket. A query that did not run is removed, so that its
+ * sequence number may be used again.
  *
- * @param tickets - Tickets so far.
- * @param place - The ticket and the sequence number.
- * @param answer - Its answer.
- * @returns The tickets after that.
+ * @param registry - The tickets.
+ * @param position - Ticket and sequence number of the query.
+ * @param answer - Answer of the query.
+ * @returns The updated registry.
  */
 export function recordFinished(
-  tickets: TicketRegistry,
-  place: TicketPosition,
+  registry: TicketRegistry,
+  position: TicketPosition,
   answer: QueryAnswer,
 ): TicketRegistry {
-  return setUse(tickets, place, answer.notRun ? undefined : { kind: "finished", answer });
+  return setUse(registry, position, answer.notRun ? undefined : { kind: "finished", answer });
 }
 
 function setUse(
-  tickets: TicketRegistry,
+  registry: TicketRegistry,
   { ticket, sequence }: TicketPosition,
   use: TicketUse | undefined,
 ): TicketRegistry {
-  const record = tickets.records.get(ticket);
+  const record = registry.records.get(ticket);
   if (record === undefined) {
-    return tickets;
+    return registry;
   }
   const highestSequence = Math.max(record.highestSequence, sequence);
-  const inWindow = record.uses.filter((kept, number) => {
-    return kept.kind === "running" || number > highestSequence - TICKET_WINDOW;
+  const inWindow = record.uses.filter((each, number) => {
+    return each.kind === "running" || number > highestSequence - TICKET_WINDOW;
   });
   const uses = use === undefined ? inWindow.delete(sequence) : inWindow.set(sequence, use);
-  return { ...tickets, records: tickets.records.set(ticket, { ...record, uses, highestSequence }) };
+  return {
+    ...registry,
+    records: registry.records.set(ticket, { ...record, uses, highestSequence }),
+  };
 }
--- a/tickets/tickets_test.ts
+++ b/tickets/tickets_test.ts
@@ -26,25 +26,25 @@
 
 const NOW = { nowMs: 1_000 };
 
-t.test("judgeTicket() lets a sequence run once, then joins and replays it", async (t) => {
+t.test("checkTicket() runs a sequence number once, then joins or replays it", async (t) => {
   const { ticket, tickets } = issueTicket(createTicketRegistry("inc"), NOW);
-  const place = { ticket, sequence: 1 };
-  t.equal(checkTicket(tickets, place, NOW).kind, "run");
-  const running = recordRunning(tickets, place, "q1");
-  t.same(checkTicket(running, place, NOW), { kind: "join", queryId: "q1" });
-  const finished = recordFinished(running, place, answer(false));
-  t.equal(checkTicket(finished, place, NOW).kind, "replay");
+  const position = { ticket, sequence: 1 };
+  t.equal(checkTicket(tickets, position, NOW).kind, "run");
+  const running = recordRunning(tickets, position, "q1");
+  t.same(checkTicket(running, position, NOW), { kind: "join", queryId: "q1" });
+  const finished = recordFinished(running, position, answer(false));
+  t.equal(checkTicket(finished, position, NOW).kind, "replay");
 });
 
-t.test("judgeTicket() lets a sequence that was not run be sent again", async (t) => {
+t.test("checkTicket() runs a sequence number again if its query did not run", async (t) => {
   const { ticket, tickets } = issueTicket(createTicketRegistry("inc"), NOW);
-  const place = { ticket, sequence: 1 };
-  const refused = recordFinished(recordRunning(tickets, place, "q1"), place, answer(true));
-  t.equal(checkTicket(refused, place, NOW).kind, "run");
+  const position = { ticket, sequence: 1 };
+  const refused = recordFinished(recordRunning(tickets, position, "q1"), position, answer(true));
+  t.equal(checkTicket(refused, position, NOW).kind, "run");
 });
 
 t.test(
-  "judgeTicket() never runs a sequence that left the window or an expired ticket",
+  "checkTicket() never runs a sequence number before the window or an expired ticket",
   async (t) => {
     const { ticket, tickets } = issueTicket(createTicketRegistry("inc"), NOW);
     const late = { ticket, sequence: TICKET_WINDOW + 1 };
@@ -54,7 +54,7 @@
   },
 );
 
-t.test("judgeTicket() sends a ticket of another incarnation elsewhere", async (t) => {
+t.test("checkTicket() redirects a ticket of another incarnation", async (t) => {
   const { ticket } = issueTicket(createTicketRegistry("other"), NOW);
   t.same(checkTicket(createTicketRegistry("inc"), { ticket, sequence: 1 }, NOW), {
     kind: "elsewhere",
