--- a/bin/rackvale.ts
+++ b/bin/rackvale.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The operators' command line.
+ * Entry point of the operators' command line.
  *
  * @module
  */
--- a/bin/rackvale_box.ts
+++ b/bin/rackvale_box.ts
@@ -1,5 +1,5 @@
 /**
- * The box daemon's program, for the users' platform.
+ * Entry point of the box daemon.
  *
  * @module
  */
@@ -45,8 +45,9 @@
   process.on("SIGINT", () => box.stop());
   const watch = watchBoxSettings(process.env[SETTINGS_VARIABLE] ?? "", {
     onChange: (changed) => box.reload(changed),
-    // The settings in force are kept; those that cannot be read must not end a box that serves.
-    onError: ({ message }) => telemetry.event("error", "box: cannot reload", { reason: message }),
+    // Invalid settings are ignored; a serving box keeps its current ones.
+    onError: ({ message }) =>
+      telemetry.event("error", "box: cannot reload settings", { reason: message }),
   });
   process.on("SIGHUP", () => watch.check());
   await box.start();
--- a/bin/rackvale_entry.ts
+++ b/bin/rackvale_entry.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The entry daemon's program.
+ * Entry point of the entry daemon.
  *
  * @module
  */
--- a/bin/rackvale_pool.ts
+++ b/bin/rackvale_pool.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The pool daemon's program.
+ * Entry point of the pool daemon.
  *
  * @module
  */
