--- a/cli/_entry_http.ts
+++ b/cli/_entry_http.ts
@@ -1,32 +1,32 @@
 /**
- * Calls from the command line to an entry.
+ * HTTP client of the command line, and helpers for its errors and input files.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 import { request } from "undici";
 
-/** An answer of an entry. */
+/** Response of an entry. */
 export interface EntryResponse {
   readonly statusCode: number;
   readonly body: unknown;
 }
 
-/** A call to an entry. */
+/** Request to an entry. */
 export interface EntryCall {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   readonly path: string;
   readonly body?: unknown;
-  /** Time for the whole call, in milliseconds; by default as long as the longest wait of a command. */
+  /** Timeout of the call, in milliseconds; 70 s by default. */
   readonly timeoutMs?: number;
 }
 
-/** What stops a command; its message is printed as it is. */
+/** Error that ends a command; its message is printed unchanged. */
 export class CommandError extends Error {
   readonly exitCode: number;
 
   /**
-   * @param message - One sentence.
+   * @param message - Message to print.
    * @param exitCode - Exit code of the program.
    */
   constructor(message: string, exitCode: number) {
@@ -35,28 +35,28 @@
   }
 }
 
-const ANSWER_MS = 70_000;
+const DEFAULT_TIMEOUT_MS = 70_000;
 
 /**
  * Calls an entry.
  *
  * @param entry - Base URL of the entry.
- * @param call - The call.
- * @returns The answer.
- * @throws CommandError where the entry cannot be reached; nothing is known of the outcome then.
+ * @param call - The request.
+ * @returns The response.
+ * @throws CommandError if the entry cannot be reached; the outcome of the request is unknown in that case.
  */
 export async function callEntry(entry: string, call: EntryCall): Promise<EntryResponse> {
-  const { method, path, body, timeoutMs: answerMs = ANSWER_MS } = call;
+  const { method, path, body, timeoutMs = DEFAULT_TIMEOUT_MS } = call;
   try {
-    const answer = await request(`${entry}${path}`, {
+    const response = await request(`${entry}${path}`, {
       method,
-      headersTimeout: answerMs,
-      signal: AbortSignal.timeout(answerMs),
+      headersTimeout: timeoutMs,
+      signal: AbortSignal.timeout(timeoutMs),
       ...(body === undefined
         ? {}
         : { body: JSON.stringify(body), headers: { "content-type": "application/json" } }),
     });
-    return { statusCode: answer.statusCode, body: await answer.body.json() };
+    return { statusCode: response.statusCode, body: await response.body.json() };
   } catch (error) {
     const { code, message } = error as Error & { readonly code?: string };
     throw new CommandError(`Cannot reach the entry at ${entry}: ${code ?? message}`, 1);
@@ -67,8 +67,8 @@
  * Reads a JSON file.
  *
  * @param path - Path of the file; `-` for standard input.
- * @returns The data.
- * @throws CommandError where there is no such file or it is not JSON.
+ * @returns The parsed data.
+ * @throws CommandError if the file cannot be read or is not valid JSON.
  */
 export function readJsonFile(path: string): unknown {
   let text: string;
@@ -80,16 +80,16 @@
   try {
     return JSON.parse(text);
   } catch (error) {
-    const why = error instanceof Error ? error.message : "not valid";
-    throw new CommandError(`Cannot parse file "${path}": ${why}`, 2);
+    const reason = error instanceof Error ? error.message : "not valid";
+    throw new CommandError(`Cannot parse file "${path}": ${reason}`, 2);
   }
 }
 
 /**
- * Picks the sentence out of an error answer.
+ * Extracts the message from an error response.
  *
- * @param body - Body of the answer.
- * @returns The sentence with the field at fault.
+ * @param body - Body of the response.
+ * @returns The message with the name of the invalid field.
  */
 export function errorMessage(body: unknown): string {
   const { error, message } = body as {
@@ -97,5 +97,5 @@
     readonly message?: string;
   };
   const field = error?.field === undefined ? "" : ` (field ${error.field})`;
-  return `${error?.message ?? message ?? "Cannot do it: no reason told"}${field}`;
+  return `${error?.message ?? message ?? "Request failed: no reason given"}${field}`;
 }
--- a/cli/_fleet_summary.ts
+++ b/cli/_fleet_summary.ts
@@ -1,27 +1,32 @@
 /**
- * Sums up what many boxes tell of themselves: counts by data centre, and the boxes that differ from the rest.
+ * Summarises the reports of many boxes: counts by data centre, and boxes that are not healthy or up to date.
  *
  * @module
  */
 import type { BoxReport } from "../box/box_report.js";
 import type { ReportedCrashes } from "../quarantine/mod.js";
 
-/** A box that was asked. */
+/** A box that was asked for its report. */
 export interface QueriedBox {
   readonly box: string;
   readonly dataCentre: string;
-  /** What it told; nothing where it did not answer. */
+  /** Its report; `undefined` if it did not answer. */
   readonly report: BoxReport | undefined;
 }
 
-/** Age of a box's last news at which it counts as cut from the store, in milliseconds. */
-const OLD_NEWS_MS = 10_000;
+/** Age of a box's last update from the store from which it counts as disconnected, in milliseconds. */
+const MAX_UPDATE_AGE_MS = 10_000;
 
-/** Extra calls that a budget must allow to go unmentioned. */
+/** Number of remaining extra calls below which a budget counts as exhausted. */
 export const MIN_EXTRA_CALLS_LEFT = 1;
 
-/** A way in which a box may differ from the rest. */
-type Difference = "not answering" | "not ready" | "behind" | "cut from the store" | "budgets spent";
+/** Condition in which a box differs from a healthy one. */
+type Difference =
+  | "not answering"
+  | "not ready"
+  | "behind"
+  | "disconnected from the store"
+  | "budgets exhausted";
 
 type DifferenceTest = (report: BoxReport, newestVersion: number) => boolean;
 
@@ -29,19 +34,19 @@
   {
     "not ready": ({ phase }) => phase !== "ready",
     behind: ({ configuration }, newest) => (configuration?.version ?? 0) < newest,
-    "cut from the store": ({ isStoreReachable, knownAgoMs }) =>
-      !isStoreReachable && knownAgoMs > OLD_NEWS_MS,
-    "budgets spent": ({ extraCallsLeft }) => {
+    "disconnected from the store": ({ isStoreReachable, knownAgoMs }) =>
+      !isStoreReachable && knownAgoMs > MAX_UPDATE_AGE_MS,
+    "budgets exhausted": ({ extraCallsLeft }) => {
       return Object.values(extraCallsLeft).some((calls) => calls < MIN_EXTRA_CALLS_LEFT);
     },
   };
 
 /**
- * Tells how a box differs from one that is well and up to date.
+ * Compares a box with a healthy one that is up to date.
  *
- * @param asked - The box.
- * @param newestVersion - Newest version of the configuration that any box has.
- * @returns Each way in which it differs.
+ * @param queried - The box.
+ * @param newestVersion - Newest version of the configuration on any box.
+ * @returns The conditions in which it differs; none if it is healthy.
  */
 export function differencesOf(
   { report }: QueriedBox,
@@ -56,69 +61,73 @@
 }
 
 /**
- * Tells the newest version of the configuration that any box has.
+ * Returns the newest version of the configuration on any box.
  *
- * @param asked - The boxes.
- * @returns The version; 0 where none has one.
+ * @param queried - The boxes.
+ * @returns The version; 0 if no box has a configuration.
  */
-export function newestVersionOf(asked: ReadonlyArray<QueriedBox>): number {
-  return Math.max(0, ...asked.map(({ report }) => report?.configuration?.version ?? 0));
+export function newestVersionOf(queried: ReadonlyArray<QueriedBox>): number {
+  return Math.max(0, ...queried.map(({ report }) => report?.configuration?.version ?? 0));
 }
 
 /**
- * Sums up boxes by data centre.
+ * Summarises boxes by data centre.
  *
- * @param asked - The boxes.
- * @returns A line for each data centre, in the order of their names.
+ * @param queried - The boxes.
+ * @returns A line for each data centre, sorted by name.
  */
-export function summariseFleet(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<string> {
-  const newest = newestVersionOf(asked);
-  const dataCentres = [...new Set(asked.map(({ dataCentre }) => dataCentre))].toSorted();
+export function summariseFleet(queried: ReadonlyArray<QueriedBox>): ReadonlyArray<string> {
+  const newest = newestVersionOf(queried);
+  const dataCentres = [...new Set(queried.map(({ dataCentre }) => dataCentre))].toSorted();
   return dataCentres.map((dataCentre) => {
-    const here = asked.filter((each) => each.dataCentre === dataCentre);
+    const here = queried.filter((each) => each.dataCentre === dataCentre);
     const counts = new Map<Difference, number>();
     for (const difference of here.flatMap((each) => differencesOf(each, newest))) {
       counts.set(difference, (counts.get(difference) ?? 0) + 1);
     }
-    const well = here.filter((each) => differencesOf(each, newest).length === 0).length;
-    const told = [...counts].map(([difference, count]) => `, ${count} ${difference}`).join("");
-    return `${dataCentre}: ${here.length} boxes, ${well} well with configuration ${newest}${told}`;
+    const healthy = here.filter((each) => differencesOf(each, newest).length === 0).length;
+    const differing = [...counts].map(([difference, count]) => `, ${count} ${difference}`).join("");
+    return `${dataCentre}: ${here.length} boxes, ${healthy} healthy with configuration ${newest}${differing}`;
   });
 }
 
-/** A data centre that operators have emptied, and how far that is in force. */
+/** An evacuated data centre, and the number of boxes on which the evacuation is in force. */
 export interface EvacuationSummary {
   readonly dataCentre: string;
-  /** Boxes that send nothing there. */
-  readonly boxes: number;
-  /** Boxes that answered. */
-  readonly of: number;
+  /** Number of boxes that send no calls there. */
+  readonly activeCount: number;
+  /** Number of boxes that answered. */
+  readonly answeredCount: number;
 }
 
 /**
- * Tells on how many boxes each evacuation is in force: while it is on some only, the others have not heard yet.
+ * Counts the boxes on which each evacuation is in force; boxes that have not received it yet are missing.
  *
- * @param asked - The boxes.
- * @returns The data centres that any box has as evacuated, in the order of their names.
+ * @param queried - The boxes.
+ * @returns The data centres that any box reports as evacuated, sorted by name.
  */
-export function evacuationsOf(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<EvacuationSummary> {
-  const reports = asked.flatMap(({ report }) => report ?? []);
+export function evacuationsOf(
+  queried: ReadonlyArray<QueriedBox>,
+): ReadonlyArray<EvacuationSummary> {
+  const reports = queried.flatMap(({ report }) => report ?? []);
   const dataCentres = [...new Set(reports.flatMap(({ evacuated }) => evacuated))].toSorted();
   return dataCentres.map((dataCentre) => {
-    const boxes = reports.filter(({ evacuated }) => evacuated.includes(dataCentre)).length;
-    return { dataCentre, boxes, of: reports.length };
+    const activeCount = reports.filter(({ evacuated }) => evacuated.includes(dataCentre)).length;
+    return { dataCentre, activeCount, answeredCount: reports.length };
   });
 }
 
 /**
- * Lists the queries that boxes suspect or do not send any more, each as the box tells it that heard last.
+ * Lists suspected and quarantined queries, each in the most recently changed state that any box reports.
  *
- * @param asked - The boxes.
+ * @param queried - The boxes.
  * @returns The queries, the latest change first.
  */
-export function flaggedQueriesOf(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<ReportedCrashes> {
+export function flaggedQueriesOf(
+  queried: ReadonlyArray<QueriedBox>,
+): ReadonlyArray<ReportedCrashes> {
   const latest = new Map<string, ReportedCrashes>();
-  for (const query of asked.flatMap(({ report }) => report?.queries ?? [])) {
+  for (const query of queried.flatMap(({ report }) => report?.queries ?? [])) {
     const known = latest.get(query.fingerprint);
     if (known === undefined || query.changedAgoMs < known.changedAgoMs) {
       latest.set(query.fingerprint, query);
--- a/cli/boxes_command.ts
+++ b/cli/boxes_command.ts
@@ -1,5 +1,5 @@
 /**
- * The command that tells what is in force on each box of the users' platform, and what each believes.
+ * The command that shows the state of each box of the users' platform, and the one that clears a query.
  *
  * @module
  */
@@ -28,22 +28,27 @@
   EXIT_CODES,
 } from "./command.js";
 
-/** Time that a box has to tell of itself, in milliseconds; with many boxes some will not answer. */
-const REPORT_MS = 1_200;
+/** Timeout for the report of one box, in milliseconds. */
+const REPORT_TIMEOUT_MS = 1_200;
 
-/** Boxes up to which each has a line of its own. */
-const FEW_BOXES = 12;
+/** Maximum number of boxes that are listed individually by default. */
+const MAX_LISTED_BOXES = 12;
 
-async function boxes({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
-  const all = await askAll(settings.entry);
-  const chosen = words[0] === undefined ? all : all.filter(({ box }) => box === words[0]);
+async function boxes({ settings, positionals }: CommandContext): Promise<CommandResult> {
+  const all = await queryAll(settings.entry);
+  const chosen =
+    positionals[0] === undefined ? all : all.filter(({ box }) => box === positionals[0]);
   if (chosen.length === 0) {
-    return { exitCode: EXIT_CODES.failed, lines: [`No box "${words[0]}" is known`], data: [] };
+    return {
+      exitCode: EXIT_CODES.failed,
+      lines: [`No box "${positionals[0]}" is known`],
+      data: [],
+    };
   }
-  const isWell = chosen.every(({ report }) => report !== undefined);
-  const exitCode = isWell ? EXIT_CODES.ok : EXIT_CODES.failed;
-  const withLeafs = words[0] !== undefined;
-  const isSummary = chosen.length > FEW_BOXES && !settings.all;
+  const allAnswered = chosen.every(({ report }) => report !== undefined);
+  const exitCode = allAnswered ? EXIT_CODES.ok : EXIT_CODES.failed;
+  const withLeafs = positionals[0] !== undefined;
+  const isSummary = chosen.length > MAX_LISTED_BOXES && !settings.all;
   const newest = newestVersionOf(chosen);
   const shown = isSummary
     ? chosen.filter((each) => differencesOf(each, newest).length > 0)
@@ -58,22 +63,22 @@
   return { exitCode, lines, data: chosen };
 }
 
-/** Asks one box, and through its list all others; one that does not answer holds up none of them. */
-async function askAll(url: string): Promise<ReadonlyArray<QueriedBox>> {
+/** Requests the reports of one box and of all members that it lists; unreachable boxes delay no others. */
+async function queryAll(url: string): Promise<ReadonlyArray<QueriedBox>> {
   const first = await readReport(url);
   const self = first.members.find(({ box }) => box === first.box);
   const others = first.members.filter(({ box, state }) => box !== first.box && state !== "dead");
-  const asked = await Promise.all(
+  const queried = await Promise.all(
     others.map(async ({ box, dataCentre, address, peerPort }): Promise<QueriedBox> => {
       const report = await readReport(`http://${address}:${peerPort}`).catch(() => undefined);
       return { box, dataCentre, report };
     }),
   );
-  return [{ box: first.box, dataCentre: self?.dataCentre ?? "", report: first }, ...asked];
+  return [{ box: first.box, dataCentre: self?.dataCentre ?? "", report: first }, ...queried];
 }
 
 async function readReport(url: string): Promise<BoxReport> {
-  const call = { method: "GET", path: REPORT_PATH, timeoutMs: REPORT_MS } as const;
+  const call = { method: "GET", path: REPORT_PATH, timeoutMs: REPORT_TIMEOUT_MS } as const;
   const { body } = await callEntry(url, call);
   return body as BoxReport;
 }
@@ -92,17 +97,22 @@
     configuration === undefined
       ? "no configuration"
       : `configuration ${configuration.version} from the ${configuration.source} for ${seconds(configuration.inForceForMs)}`;
-  const way = isWatcher ? "watches the store" : "hears from others";
+  const updateSource = isWatcher ? "watches the store" : "receives updates from others";
   const ready = leafs.filter(({ standing }) => standing === "ready").length;
-  const low = Object.entries(extraCallsLeft).filter(([, calls]) => calls < MIN_EXTRA_CALLS_LEFT);
-  const budgets = low.length === 0 ? "" : `, budgets spent: ${low.map(([name]) => name).join(" ")}`;
-  const head = `${box} is ${phase}, ${inForce}, ${way} (${seconds(knownAgoMs)} ago), ${ready} of ${leafs.length} leafs ready${warming}${budgets}`;
+  const exhausted = Object.entries(extraCallsLeft).filter(
+    ([, calls]) => calls < MIN_EXTRA_CALLS_LEFT,
+  );
+  const budgets =
+    exhausted.length === 0
+      ? ""
+      : `, budgets exhausted: ${exhausted.map(([name]) => name).join(" ")}`;
+  const head = `${box} is ${phase}, ${inForce}, ${updateSource} (${seconds(knownAgoMs)} ago), ${ready} of ${leafs.length} leafs ready${warming}${budgets}`;
   return withLeafs ? [head, ...leafs.map(describeLeaf)] : [head];
 }
 
-function describeEvacuations(asked: ReadonlyArray<QueriedBox>): ReadonlyArray<string> {
-  return evacuationsOf(asked).map(({ boxes: count, dataCentre, of }) => {
-    return `${dataCentre} is evacuated: ${count} of ${of} boxes send nothing there`;
+function describeEvacuations(queried: ReadonlyArray<QueriedBox>): ReadonlyArray<string> {
+  return evacuationsOf(queried).map(({ activeCount, dataCentre, answeredCount }) => {
+    return `${dataCentre} is evacuated: ${activeCount} of ${answeredCount} boxes send no calls there`;
   });
 }
 
@@ -116,18 +126,18 @@
 
 function describeQuery(query: ReportedCrashes): string {
   const { changedAgoMs, fingerprint, lostLeafs, lostTrials, standing } = query;
-  const lost = `${lostLeafs} leafs lost under it, ${lostTrials} of them asked alone`;
-  return `query ${fingerprint} is ${standing}: ${lost}, last ${seconds(changedAgoMs)} ago`;
+  const crashes = `${lostLeafs} leafs crashed while running it, ${lostTrials} of them in probe calls`;
+  return `query ${fingerprint} is ${standing}: ${crashes}, last ${seconds(changedAgoMs)} ago`;
 }
 
-async function lift({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
-  const [fingerprint = ""] = words;
+async function lift({ settings, positionals }: CommandContext): Promise<CommandResult> {
+  const [fingerprint = ""] = positionals;
   const path = `${CLEAR_QUERY_PATH}${encodeURIComponent(fingerprint)}`;
   const { statusCode } = await callEntry(settings.entry, { method: "POST", path });
   const isLifted = statusCode === 200;
   const text = isLifted
-    ? `Cleared query "${fingerprint}"; all boxes are told`
-    : `Cannot clear query "${fingerprint}": the box neither suspects nor holds it`;
+    ? `Cleared query "${fingerprint}"; all boxes are notified`
+    : `Cannot clear query "${fingerprint}": the box neither suspects nor blocks it`;
   const exitCode = isLifted ? EXIT_CODES.ok : EXIT_CODES.failed;
   return { exitCode, lines: [text], data: { fingerprint, isLifted } };
 }
@@ -140,7 +150,7 @@
 export const BOXES_COMMANDS: Readonly<Record<string, Command>> = {
   boxes: {
     usage: "[BOX]",
-    help: "Sums up the boxes of the users' platform by data centre and shows those that differ, asked at one's port for peers; with BOX its leafs too",
+    help: "Summarises the boxes by data centre and lists those that are not healthy; --entry is the peer port of any box; with BOX lists its leafs too",
     positionalCount: 0,
     optionalPositionalCount: 1,
     specs: BOXES_SPECS,
@@ -148,7 +158,7 @@
   },
   lift: {
     usage: "FINGERPRINT",
-    help: "Clears a query under which leafs were lost, on all boxes, asked at one's port for peers; its fingerprint stands in the log line of each of its requests",
+    help: "Clears a crash-inducing query on all boxes; --entry is the peer port of any box; the fingerprint is in the log line of each of the query's requests",
     positionalCount: 1,
     specs: {},
     run: lift,
--- a/cli/command.ts
+++ b/cli/command.ts
@@ -1,5 +1,5 @@
 /**
- * What commands are made of.
+ * Types, flags and exit codes shared by all commands.
  *
  * @module
  */
@@ -14,28 +14,28 @@
   unclear: 4,
 } as const;
 
-/** What a command ends with. */
+/** Result of a command. */
 export interface CommandResult {
   readonly exitCode: number;
-  /** Lines for a person. */
+  /** Human-readable output. */
   readonly lines: ReadonlyArray<string>;
-  /** The same as data, for `--json`. */
+  /** Output for `--json`. */
   readonly data: unknown;
 }
 
-/** Flags that all commands have. */
+/** Flags of all commands. */
 export const COMMON_SPECS = {
   entry: {
     kind: "url",
     help: "Any entry of the system, as http://address:port",
     fallback: "http://127.0.0.1:7400",
   },
-  json: { kind: "flag", help: "Prints data in place of text", fallback: "false" },
+  json: { kind: "flag", help: "Prints JSON instead of text", fallback: "false" },
 } as const satisfies SettingSpecs;
 
 /** Flags of commands that change an object. */
 export const SUBMIT_SPECS = {
-  author: { kind: "text", help: "Who submits", fallback: "operator" },
+  author: { kind: "text", help: "Name of the submitter", fallback: "operator" },
   base: {
     kind: "text",
     help: "Revision that the change replaces; by default the one in force",
@@ -43,17 +43,17 @@
   },
   submission: {
     kind: "text",
-    help: "Id of the submission; give the same again to settle an unclear one",
+    help: "Id of the submission; repeat it to resolve an unclear outcome",
     fallback: "",
   },
   wait: {
     kind: "flag",
-    help: "Waits until the change is in force on every box that can be reached",
+    help: "Waits until the change is in force on every reachable box",
     fallback: "false",
   },
   "wait-ms": {
     kind: "number",
-    help: "Longest wait, in milliseconds",
+    help: "Maximum wait, in milliseconds",
     fallback: "30000",
     min: 0,
     max: 600_000,
@@ -62,15 +62,15 @@
 
 /** Flags of the query command. */
 export const QUERY_SPECS = {
-  body: { kind: "text", help: "What the leafs are asked, as JSON", fallback: "null" },
+  body: { kind: "text", help: "Query body for the leafs, as JSON", fallback: "null" },
   "deadline-ms": {
     kind: "number",
-    help: "Time until the answer is of no use, in milliseconds",
+    help: "Deadline of the query, in milliseconds",
     fallback: "1000",
     min: 1,
     max: 60_000,
   },
-  caller: { kind: "text", help: "Who asks", fallback: "operator" },
+  caller: { kind: "text", help: "Name of the caller", fallback: "operator" },
   rights: { kind: "text", help: "Scope of rights; by default the caller's own", fallback: "" },
   priority: {
     kind: "choice",
@@ -81,14 +81,14 @@
   "order-by": { kind: "text", help: "Field to order rows by", fallback: "" },
   "limit-rows": {
     kind: "number",
-    help: "Most rows; 0 for all",
+    help: "Maximum number of rows; 0 for all",
     fallback: "0",
     min: 0,
     max: 100_000,
   },
   once: {
     kind: "flag",
-    help: "Marks the query as not repeatable and takes a ticket for it",
+    help: "Marks the query as not repeatable and obtains a ticket for it",
     fallback: "false",
   },
 } as const satisfies SettingSpecs;
@@ -102,9 +102,9 @@
   },
 } as const satisfies SettingSpecs;
 
-/** Flags of the command that shows boxes. */
+/** Flags of the `boxes` command. */
 export const BOXES_SPECS = {
-  all: { kind: "flag", help: "A line for each box, also where there are many", fallback: "false" },
+  all: { kind: "flag", help: "Lists each box, even if there are many", fallback: "false" },
 } as const satisfies SettingSpecs;
 
 /** All flags. */
@@ -116,24 +116,24 @@
   ...BOXES_SPECS,
 };
 
-/** All flags as read; a command uses those it names. */
+/** Values of all flags; a command uses those in its `specs`. */
 export type CommandSettings = Settings<typeof ALL_SPECS>;
 
-/** What a command runs with. */
+/** Input of a command. */
 export interface CommandContext {
   readonly settings: CommandSettings;
-  /** Words behind the command's name. */
+  /** Positional arguments after the command's name. */
   readonly positionals: ReadonlyArray<string>;
 }
 
-/** One command. */
+/** A command. */
 export interface Command {
-  /** Words that follow the name, for the help. */
+  /** Positional arguments as shown in the help. */
   readonly usage: string;
   readonly help: string;
-  /** Number of words that must follow. */
+  /** Number of required positional arguments. */
   readonly positionalCount: number;
-  /** Number of words that may follow besides; none by default. */
+  /** Number of optional positional arguments; 0 by default. */
   readonly optionalPositionalCount?: number;
   readonly specs: SettingSpecs;
   readonly run: (context: CommandContext) => Promise<CommandResult>;
--- a/cli/explain_command.ts
+++ b/cli/explain_command.ts
@@ -1,5 +1,5 @@
 /**
- * Tells from the boxes' logs what became of a request, and why.
+ * The command that explains the outcome of a request from the boxes' logs.
  *
  * @module
  */
@@ -16,17 +16,17 @@
   readonly [field: string]: unknown;
 }
 
-/** Time around a request in which a box's other lines may explain it, in milliseconds. */
-const AROUND_MS = 5_000;
+/** Maximum time between a request's log line and other lines that may explain it, in milliseconds. */
+const MAX_TIME_DISTANCE_MS = 5_000;
 
-/** Bunyan's level of a warning; less is no explanation. */
+/** Bunyan's level of warnings, the minimum for lines without one of the prefixes. */
 const WARN_LEVEL = 40;
 
-/** Beginnings of lines that tell of a change in what a box believes. */
-const BELIEF_PREFIXES = ["configuration:", "leafs:", "fleet:", "store:", "box:"] as const;
+/** Prefixes of log lines on state changes of a box. */
+const STATE_CHANGE_PREFIXES = ["configuration:", "leafs:", "fleet:", "store:", "box:"] as const;
 
-/** Fields of a line that say nothing about the request. */
-const PLAIN_FIELDS: ReadonlySet<string> = new Set([
+/** Fields that are omitted because they do not explain a request. */
+const OMITTED_FIELDS: ReadonlySet<string> = new Set([
   "name",
   "box",
   "hostname",
@@ -39,25 +39,29 @@
 ]);
 
 /**
- * Joins the lines of a request with what its boxes came to believe around it.
+ * Joins the log lines of a request with those on state changes of its boxes around the same time.
  *
  * @param requestId - Id of the request.
- * @param lines - Lines of all boxes' logs, in any order; what is no line of a box is passed over.
- * @returns Lines for a person, in the order of time; none where no log names the request.
+ * @param lines - Lines of all boxes' logs, in any order; lines in other formats are ignored.
+ * @returns Human-readable lines, sorted by time; empty if no log contains the request.
  */
 export function explainRequest(
   requestId: string,
   lines: ReadonlyArray<string>,
 ): ReadonlyArray<string> {
   const parsed = lines.flatMap((line) => parseLine(line) ?? []);
-  const own = parsed.filter((line) => line.requestId === requestId);
-  if (own.length === 0) {
+  const requestLines = parsed.filter((line) => line.requestId === requestId);
+  if (requestLines.length === 0) {
     return [];
   }
-  const around = parsed.filter((line) => {
-    return line.requestId === undefined && isBelief(line) && own.some((each) => isNear(line, each));
+  const contextLines = parsed.filter((line) => {
+    return (
+      line.requestId === undefined &&
+      isStateChange(line) &&
+      requestLines.some((each) => isAround(line, each))
+    );
   });
-  return [...own, ...around]
+  return [...requestLines, ...contextLines]
     .sort((a, b) => (a.time < b.time ? -1 : 1))
     .map((line) => `${line.time} ${line.box} ${line.msg}${fieldsText(line)}`);
 }
@@ -76,16 +80,19 @@
   }
 }
 
-function isBelief({ msg, level }: LogLine): boolean {
-  return level >= WARN_LEVEL || BELIEF_PREFIXES.some((prefix) => msg.startsWith(prefix));
+function isStateChange({ msg, level }: LogLine): boolean {
+  return level >= WARN_LEVEL || STATE_CHANGE_PREFIXES.some((prefix) => msg.startsWith(prefix));
 }
 
-function isNear(line: LogLine, own: LogLine): boolean {
-  return line.box === own.box && Math.abs(Date.parse(line.time) - Date.parse(own.time)) < AROUND_MS;
+function isAround(line: LogLine, requestLine: LogLine): boolean {
+  return (
+    line.box === requestLine.box &&
+    Math.abs(Date.parse(line.time) - Date.parse(requestLine.time)) < MAX_TIME_DISTANCE_MS
+  );
 }
 
 function fieldsText(line: LogLine): string {
-  const fields = Object.entries(line).filter(([name]) => !PLAIN_FIELDS.has(name));
+  const fields = Object.entries(line).filter(([name]) => !OMITTED_FIELDS.has(name));
   return fields.map(([name, value]) => ` ${name}=${JSON.stringify(value)}`).join("");
 }
 
@@ -96,7 +103,7 @@
   }
   const explained = explainRequest(requestId, lines);
   if (explained.length === 0) {
-    const text = `Cannot explain "${requestId}": no line of these logs names it; look for a box that was lost`;
+    const text = `Cannot explain "${requestId}": these logs do not contain it; check whether a box has crashed`;
     return { exitCode: EXIT_CODES.failed, lines: [text], data: { requestId, lines: [] } };
   }
   return { exitCode: EXIT_CODES.ok, lines: explained, data: { requestId, lines: explained } };
@@ -106,9 +113,9 @@
 export const EXPLAIN_COMMANDS: Readonly<Record<string, Command>> = {
   explain: {
     usage: "REQUEST-ID < logs",
-    help: "Tells from boxes' logs on standard input what became of a request, and what its box believed then",
+    help: "Shows the log lines of a request and of its box's state changes around it, from boxes' logs on standard input",
     positionalCount: 1,
     specs: {},
-    run: ({ positionals: words }) => explain(words[0] ?? ""),
+    run: ({ positionals }) => explain(positionals[0] ?? ""),
   },
 };
--- a/cli/object_commands.ts
+++ b/cli/object_commands.ts
@@ -17,10 +17,10 @@
 } from "./command.js";
 import { readStatus } from "./status_command.js";
 
-/** How often the boxes are asked while a change is awaited, in milliseconds. */
-const LOOK_EVERY_MS = 100;
+/** Interval of polling the daemons until a change is in force, in milliseconds. */
+const POLL_INTERVAL_MS = 100;
 
-/** A collection of objects as the commands name it. */
+/** A collection of objects that commands operate on. */
 export interface Collection {
   readonly noun: string;
   readonly path: string;
@@ -28,7 +28,7 @@
 }
 
 /**
- * Makes the commands of a collection.
+ * Returns the commands of a collection.
  *
  * @param collection - The collection.
  * @returns The commands by name.
@@ -90,9 +90,9 @@
 
 async function readObject(
   { path, noun }: Collection,
-  { settings, positionals: words }: CommandContext,
+  { settings, positionals }: CommandContext,
 ): Promise<CatalogObject> {
-  const name = words[0] ?? "";
+  const name = positionals[0] ?? "";
   const answer = await callEntry(settings.entry, { method: "GET", path: `/v1/${path}/${name}` });
   if (answer.statusCode !== 200) {
     throw new CommandError(`Cannot find ${noun} "${name}"`, EXIT_CODES.failed);
@@ -118,13 +118,11 @@
 async function diff(collection: Collection, context: CommandContext): Promise<CommandResult> {
   const [file = ""] = context.positionals;
   const value = readJsonFile(file);
-  const words = [nameOf(value)];
-  const held = await readObject(collection, { ...context, positionals: words }).catch(
-    () => undefined,
-  );
-  const before = held === undefined ? "" : `${JSON.stringify(held.value, null, 2)}\n`;
+  const positionals = [nameOf(value)];
+  const current = await readObject(collection, { ...context, positionals }).catch(() => undefined);
+  const before = current === undefined ? "" : `${JSON.stringify(current.value, null, 2)}\n`;
   const after = `${JSON.stringify(value, null, 2)}\n`;
-  const title = held === undefined ? "not there" : `revision ${held.revision}`;
+  const title = current === undefined ? "not there" : `revision ${current.revision}`;
   const patch = createTwoFilesPatch(title, file, before, after);
   const lines = before === after ? ["no difference"] : [patch.trimEnd()];
   return { exitCode: EXIT_CODES.ok, lines, data: { differs: before !== after, patch } };
@@ -178,32 +176,36 @@
   }
   const path = `/v1/${collection.path}/${name}?${query}`;
   const answer = await callEntry(settings.entry, { method, path, body }).catch((error: Error) => {
-    // The entry went away with the submission under way.
+    // The connection failed after the submission may have been sent.
     const message = `${error.message}; it is unclear whether the change took effect, submit it again with --submission ${submissionId}`;
     throw new CommandError(message, EXIT_CODES.unclear);
   });
-  const told = answer.body as SubmitBody;
-  if (told.outcome === undefined) {
+  const result = answer.body as SubmitBody;
+  if (result.outcome === undefined) {
     throw new CommandError(errorMessage(answer.body), EXIT_CODES.usage);
   }
-  const lines = [`${collection.noun} ${name}: ${told.message} (submission ${submissionId})`];
-  const exitCode = OUTCOME_CODES[told.outcome] ?? EXIT_CODES.failed;
+  const lines = [`${collection.noun} ${name}: ${result.message} (submission ${submissionId})`];
+  const exitCode = OUTCOME_CODES[result.outcome] ?? EXIT_CODES.failed;
   if (exitCode !== EXIT_CODES.ok || !settings.wait) {
-    return { exitCode, lines, data: told };
+    return { exitCode, lines, data: result };
   }
   const key = `${collection.kind}/${name}`;
-  const waited = await waitInForce(settings, { key, revision: told.revision });
-  return { ...waited, lines: [...lines, ...waited.lines], data: { ...told, waited: waited.data } };
+  const waitResult = await waitInForce(settings, { key, revision: result.revision });
+  return {
+    ...waitResult,
+    lines: [...lines, ...waitResult.lines],
+    data: { ...result, waited: waitResult.data },
+  };
 }
 
-interface Awaited {
+interface AwaitedRevision {
   readonly key: string;
   readonly revision: number;
 }
 
 async function waitInForce(
   settings: CommandSettings,
-  { key, revision }: Awaited,
+  { key, revision }: AwaitedRevision,
 ): Promise<CommandResult> {
   const startedAtMs = performance.now();
   while (true) {
@@ -214,15 +216,15 @@
       .map((each) => each.memberId);
     const tookMs = Math.round(performance.now() - startedAtMs);
     if (behind.length === 0) {
-      const told = `in force on ${daemons.length - unreached.length} daemons after ${tookMs} ms`;
+      const summary = `in force on ${daemons.length - unreached.length} daemons after ${tookMs} ms`;
       const lines =
-        unreached.length === 0 ? [told] : [told, `not reached: ${unreached.join(", ")}`];
+        unreached.length === 0 ? [summary] : [summary, `unreachable: ${unreached.join(", ")}`];
       return { exitCode: EXIT_CODES.ok, lines, data: { inForce: true, tookMs, unreached } };
     }
     if (tookMs > settings["wait-ms"]) {
       const lines = [`not yet in force on ${behind.join(", ")}`];
       return { exitCode: EXIT_CODES.failed, lines, data: { inForce: false, behind, unreached } };
     }
-    await new Promise((resolve) => setTimeout(resolve, LOOK_EVERY_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/cli/query_command.ts
+++ b/cli/query_command.ts
@@ -1,5 +1,5 @@
 /**
- * The command that sends a query, and those that try policy programs.
+ * The command that sends a query, and those that check policy programs.
  *
  * @module
  */
@@ -15,21 +15,21 @@
   QUERY_SPECS,
 } from "./command.js";
 
-async function query({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
+async function query({ settings, positionals }: CommandContext): Promise<CommandResult> {
   const body = { ...queryBody(settings), ...(await onceFields(settings)) };
-  const path = `/v1/services/${words[0]}/query`;
+  const path = `/v1/services/${positionals[0]}/query`;
   const answer = await callEntry(settings.entry, { method: "POST", path, body });
-  const told = answer.body as Partial<QueryAnswer>;
-  if (told.outcome === undefined) {
+  const result = answer.body as Partial<QueryAnswer>;
+  if (result.outcome === undefined) {
     throw new CommandError(errorMessage(answer.body), EXIT_CODES.usage);
   }
-  const isAnswered = told.outcome === "complete" || told.outcome === "partial";
+  const isAnswered = result.outcome === "complete" || result.outcome === "partial";
   const exitCode = isAnswered
     ? EXIT_CODES.ok
-    : told.outcome === "unknown"
+    : result.outcome === "unknown"
       ? EXIT_CODES.unclear
       : EXIT_CODES.failed;
-  return { exitCode, lines: describe(told as QueryAnswer), data: told };
+  return { exitCode, lines: describe(result as QueryAnswer), data: result };
 }
 
 function queryBody(settings: CommandSettings): object {
@@ -72,16 +72,13 @@
     head,
     `snapshot ${snapshot || "none"}, revision ${revision}, ${coverage.included.length} shards included`,
     ...(lacking.length === 0 ? [] : [`lacking ${lacking.join(", ")}`]),
-    ...(retryAfterMs === 0 ? [] : [`come back after ${retryAfterMs} ms`]),
+    ...(retryAfterMs === 0 ? [] : [`retry after ${retryAfterMs} ms`]),
     ...rows.map((row) => JSON.stringify(row)),
   ];
 }
 
-async function checkPolicies({
-  settings,
-  positionals: words,
-}: CommandContext): Promise<CommandResult> {
-  const file = readJsonFile(words[0] ?? "") as { readonly policies?: unknown } | null;
+async function checkPolicies({ settings, positionals }: CommandContext): Promise<CommandResult> {
+  const file = readJsonFile(positionals[0] ?? "") as { readonly policies?: unknown } | null;
   const policies = file?.policies ?? file;
   const sample = settings.sample === "" ? undefined : readJsonFile(settings.sample);
   const answer = await callEntry(settings.entry, {
@@ -114,14 +111,14 @@
   },
   "policy check": {
     usage: "FILE",
-    help: "Checks the policies of a file and shows what they decide for a plain request",
+    help: "Checks the policies of a file and shows their decisions for a default request",
     positionalCount: 1,
     specs: {},
     run: checkPolicies,
   },
   "policy dry-run": {
     usage: "FILE",
-    help: "Shows what the policies of a file decide for a sample request",
+    help: "Shows the decisions of a file's policies for a sample request",
     positionalCount: 1,
     specs: POLICY_SPECS,
     run: checkPolicies,
--- a/cli/run_command.ts
+++ b/cli/run_command.ts
@@ -1,5 +1,5 @@
 /**
- * Finds the command that was asked for and runs it.
+ * Selects a command by its name and runs it.
  *
  * @module
  */
@@ -28,7 +28,7 @@
   ...BOXES_COMMANDS,
 };
 
-/** What the program prints and ends with. */
+/** Output and exit code of the program. */
 export interface ProgramResult {
   readonly exitCode: number;
   readonly output: string;
@@ -49,26 +49,29 @@
     return overview(args);
   }
   const specs = { ...COMMON_SPECS, ...command.specs };
-  const rest = args.slice(name.split(" ").length);
-  const parsed = parseSettings(specs, { args: rest, env });
+  const commandArgs = args.slice(name.split(" ").length);
+  const parsed = parseSettings(specs, { args: commandArgs, env });
   if (parsed.isErr()) {
-    return usageFault(parsed.error.join("\n"));
+    return usageError(parsed.error.join("\n"));
   }
-  const { help, positionals: words, settings } = parsed.value;
+  const { help, positionals, settings } = parsed.value;
   const usage = `Usage: rackvale ${name} ${command.usage}`.trimEnd();
   if (help) {
     const output = helpText(`${usage}\n\n${command.help}.`, specs);
     return { exitCode: EXIT_CODES.ok, output, errors: "" };
   }
-  const { positionalCount: wordCount, optionalPositionalCount: optionalWordCount = 0 } = command;
-  if (words.length < wordCount || words.length > wordCount + optionalWordCount) {
-    return usageFault(`Cannot run "${name}": expected ${command.usage || "no words"}`);
+  const { positionalCount, optionalPositionalCount = 0 } = command;
+  if (
+    positionals.length < positionalCount ||
+    positionals.length > positionalCount + optionalPositionalCount
+  ) {
+    return usageError(`Cannot run "${name}": expected ${command.usage || "no arguments"}`);
   }
-  const full = { ...fallbacks(), ...settings } as CommandSettings;
-  return finish(await runSafely(command, { settings: full, positionals: words }), full.json);
+  const full = { ...defaultSettings(), ...settings } as CommandSettings;
+  return finish(await runSafely(command, { settings: full, positionals }), full.json);
 }
 
-function fallbacks(): Partial<CommandSettings> {
+function defaultSettings(): Partial<CommandSettings> {
   return parseSettings(ALL_SPECS, { args: [], env: {} })
     .map(({ settings }) => settings)
     .unwrapOr({} as CommandSettings);
@@ -88,15 +91,15 @@
   }
 }
 
-function finish(end: CommandResult | CommandError, asJson: boolean): ProgramResult {
-  if (end instanceof CommandError) {
-    return { exitCode: end.exitCode, output: "", errors: `${end.message}\n` };
+function finish(result: CommandResult | CommandError, asJson: boolean): ProgramResult {
+  if (result instanceof CommandError) {
+    return { exitCode: result.exitCode, output: "", errors: `${result.message}\n` };
   }
-  const text = asJson ? JSON.stringify(end.data, null, 2) : end.lines.join("\n");
-  return { exitCode: end.exitCode, output: `${text}\n`, errors: "" };
+  const text = asJson ? JSON.stringify(result.data, null, 2) : result.lines.join("\n");
+  return { exitCode: result.exitCode, output: `${text}\n`, errors: "" };
 }
 
-function usageFault(message: string): ProgramResult {
+function usageError(message: string): ProgramResult {
   return { exitCode: EXIT_CODES.usage, output: "", errors: `${message}\n` };
 }
 
@@ -105,10 +108,10 @@
     return `  ${`${name} ${usage}`.padEnd(26)} ${help}`;
   });
   const output = ["Usage: rackvale COMMAND", "", "Commands:", ...lines, ""].join("\n");
-  const asked = args.includes("--help");
-  const known = args.length === 0 || asked;
+  const isHelp = args.includes("--help");
+  const known = args.length === 0 || isHelp;
   return {
-    exitCode: asked ? EXIT_CODES.ok : EXIT_CODES.usage,
+    exitCode: isHelp ? EXIT_CODES.ok : EXIT_CODES.usage,
     output: known ? output : "",
     errors: known ? "" : `Cannot find command "${args.slice(0, 2).join(" ")}"; see --help\n`,
   };
--- a/cli/status_command.ts
+++ b/cli/status_command.ts
@@ -1,5 +1,5 @@
 /**
- * Commands that tell how the system is, and the one that drains a box.
+ * Commands that show the state of the system, and the one that drains a box.
  *
  * @module
  */
@@ -7,21 +7,21 @@
 import { callEntry, errorMessage } from "./_entry_http.js";
 import { type Command, type CommandContext, type CommandResult, EXIT_CODES } from "./command.js";
 
-/** One daemon as the status names it. */
+/** Status of one daemon. */
 export interface DaemonStatus {
   readonly memberId: string;
   readonly reached: boolean;
   readonly report?: DaemonReport & { readonly ownedLeafs?: ReadonlyArray<string> };
 }
 
-/** Time since its confirmation from which a configuration counts as degraded, in milliseconds. */
+/** Time since the last confirmation from which a configuration counts as degraded, in milliseconds. */
 const DEGRADED_MS = 10_000;
 
 /**
- * Reads how each daemon is.
+ * Reads the status of all daemons.
  *
  * @param entry - Base URL of an entry.
- * @returns The daemons.
+ * @returns The status of each daemon.
  */
 export async function readStatus(entry: string): Promise<ReadonlyArray<DaemonStatus>> {
   const { body } = await callEntry(entry, { method: "GET", path: "/v1/status" });
@@ -31,8 +31,8 @@
 async function status({ settings }: CommandContext): Promise<CommandResult> {
   const daemons = await readStatus(settings.entry);
   const lines = daemons.map(describe);
-  const isWell = daemons.every((daemon) => daemon.reached);
-  return { exitCode: isWell ? EXIT_CODES.ok : EXIT_CODES.failed, lines, data: { daemons } };
+  const allReached = daemons.every((daemon) => daemon.reached);
+  return { exitCode: allReached ? EXIT_CODES.ok : EXIT_CODES.failed, lines, data: { daemons } };
 }
 
 function describe({ memberId, reached, report }: DaemonStatus): string {
@@ -41,10 +41,10 @@
   }
   const { phase, isolated, confirmedAgoMs, revisions, ownedLeafs } = report;
   const condition = isolated
-    ? "cut off"
+    ? "isolated"
     : confirmedAgoMs > DEGRADED_MS
       ? `degraded, configuration confirmed ${Math.round(confirmedAgoMs / 1000)} s ago`
-      : "well";
+      : "healthy";
   const owned = ownedLeafs === undefined ? "" : `, owns ${ownedLeafs.length} leafs`;
   const inForce = Object.entries(revisions).map(([key, revision]) => `${key}@${revision}`);
   return `${memberId} is ${phase}, ${condition}${owned}, in force ${inForce.join(" ") || "nothing"}`;
@@ -52,7 +52,7 @@
 
 async function entries({ settings }: CommandContext): Promise<CommandResult> {
   const { body } = await callEntry(settings.entry, { method: "GET", path: "/v1/entries" });
-  const advice = body as {
+  const addressList = body as {
     readonly entries: ReadonlyArray<{
       readonly box: string;
       readonly dataCentre: string;
@@ -61,18 +61,18 @@
     }>;
     readonly keepForMs: number;
   };
-  const lines = advice.entries.map(({ box, dataCentre, address, port }) => {
+  const lines = addressList.entries.map(({ box, dataCentre, address, port }) => {
     return `${address}:${port} ${box} in ${dataCentre}`;
   });
   return {
     exitCode: EXIT_CODES.ok,
-    lines: [...lines, `keep for ${advice.keepForMs} ms`],
+    lines: [...lines, `cache for ${addressList.keepForMs} ms`],
     data: body,
   };
 }
 
-async function drain({ settings, positionals: words }: CommandContext): Promise<CommandResult> {
-  const path = `/v1/drain/${encodeURIComponent(words[0] ?? "")}`;
+async function drain({ settings, positionals }: CommandContext): Promise<CommandResult> {
+  const path = `/v1/drain/${encodeURIComponent(positionals[0] ?? "")}`;
   const { statusCode, body } = await callEntry(settings.entry, { method: "POST", path });
   if (statusCode !== 202) {
     return { exitCode: EXIT_CODES.failed, lines: [errorMessage(body)], data: body };
@@ -85,14 +85,14 @@
 export const STATUS_COMMANDS: Readonly<Record<string, Command>> = {
   status: {
     usage: "",
-    help: "Shows each daemon: its phase, what is in force on it, what it owns",
+    help: "Shows the phase of each daemon, its objects in force and its leafs",
     positionalCount: 0,
     specs: {},
     run: status,
   },
   entries: {
     usage: "",
-    help: "Shows the addresses that callers are told to use",
+    help: "Shows the addresses that callers are to use",
     positionalCount: 0,
     specs: {},
     run: entries,
--- a/e2e/operations_test.ts
+++ b/e2e/operations_test.ts
@@ -133,7 +133,7 @@
     t.match((await run("rackvale", ["entries", ...entry])).output, /box-2/);
     t.match(
       (await run("rackvale", ["status", ...entry])).output,
-      /box-1\/pool is ready, well, owns/,
+      /box-1\/pool is ready, healthy, owns/,
     );
   });
 });
