--- a/tickets/tickets.ts
+++ b/tickets/tickets.ts
@@ -17,13 +17,13 @@
 const TICKET_GRACE_MS = 120_000;
 
 /** State of the query with one sequence number. */
-export type TicketUse =
+export type SequenceState =
   | { readonly kind: "running"; readonly queryId: string }
   | { readonly kind: "finished"; readonly answer: QueryAnswer };
 
 /** State of one ticket. */
 interface TicketRecord {
-  readonly uses: ImmutableMap<number, TicketUse>;
+  readonly states: ImmutableMap<number, SequenceState>;
   readonly highestSequence: number;
   readonly expiresAtMs: number;
 }
@@ -68,7 +68,7 @@
   const ticket = `${registry.incarnation}~${issuedCount}`;
   const remaining = registry.records.filter((each) => nowMs < each.expiresAtMs + TICKET_GRACE_MS);
   const record: TicketRecord = {
-    uses: ImmutableMap(),
+    states: ImmutableMap(),
     highestSequence: 0,
     expiresAtMs: nowMs + TICKET_TTL_MS,
   };
@@ -108,11 +108,11 @@
       message: "Cannot tell whether the query ran: ticket is forgotten",
     };
   }
-  const use = record.uses.get(sequence);
-  if (use !== undefined) {
-    return use.kind === "running"
-      ? { kind: "join", queryId: use.queryId }
-      : { kind: "replay", answer: use.answer };
+  const state = record.states.get(sequence);
+  if (state !== undefined) {
+    return state.kind === "running"
+      ? { kind: "join", queryId: state.queryId }
+      : { kind: "replay", answer: state.answer };
   }
   if (sequence <= record.highestSequence - TICKET_WINDOW) {
     return {
@@ -139,7 +139,7 @@
   position: TicketPosition,
   queryId: string,
 ): TicketRegistry {
-  return setUse(registry, position, { kind: "running", queryId });
+  return setState(registry, position, { kind: "running", queryId });
 }
 
 /**
@@ -156,25 +156,25 @@
   position: TicketPosition,
   answer: QueryAnswer,
 ): TicketRegistry {
-  return setUse(registry, position, answer.notRun ? undefined : { kind: "finished", answer });
+  return setState(registry, position, answer.notRun ? undefined : { kind: "finished", answer });
 }
 
-function setUse(
+function setState(
   registry: TicketRegistry,
   { ticket, sequence }: TicketPosition,
-  use: TicketUse | undefined,
+  state: SequenceState | undefined,
 ): TicketRegistry {
   const record = registry.records.get(ticket);
   if (record === undefined) {
     return registry;
   }
   const highestSequence = Math.max(record.highestSequence, sequence);
-  const inWindow = record.uses.filter((each, number) => {
+  const inWindow = record.states.filter((each, number) => {
     return each.kind === "running" || number > highestSequence - TICKET_WINDOW;
   });
-  const uses = use === undefined ? inWindow.delete(sequence) : inWindow.set(sequence, use);
+  const states = state === undefined ? inWindow.delete(sequence) : inWindow.set(sequence, state);
   return {
     ...registry,
-    records: registry.records.set(ticket, { ...record, uses, highestSequence }),
+    records: registry.records.set(ticket, { ...record, states, highestSequence }),
   };
 }
