--- a/box/_make_fleet_link.ts
+++ b/box/_make_fleet_link.ts
@@ -28,7 +28,7 @@
   readonly isLocal: (member: Member) => boolean;
   readonly quarantine: Pick<Quarantine, "applyReports" | "selectReports">;
   /** Called when the membership state of a box has changed. */
-  readonly onMember: () => void;
+  readonly onMemberChange: () => void;
   readonly telemetry: BoxTelemetry;
 }
 
@@ -39,7 +39,8 @@
  * @returns The link, not yet open.
  */
 export function makeFleetLink(options: MakeFleetLinkOptions): FleetLink {
-  const { isLocal, clusterState, nowMs, onMember, quarantine, settings, telemetry, view } = options;
+  const { isLocal, clusterState, nowMs, onMemberChange, quarantine, settings, telemetry, view } =
+    options;
   const { box, datagramPort } = settings();
   const catchUp = new PeerCatchUp({
     box,
@@ -70,7 +71,7 @@
       }
     },
     onMemberChange: ({ box: member, state, incarnation }) => {
-      onMember();
+      onMemberChange();
       telemetry.event("info", "fleet: box changed", { member, state, incarnation });
     },
     onError: (message) => telemetry.event("warn", "fleet: fault", { reason: message }),
--- a/box/box_shell.ts
+++ b/box/box_shell.ts
@@ -182,7 +182,7 @@
       view: this.#view,
       isLocal,
       quarantine: this.#quarantine,
-      onMember: () => {
+      onMemberChange: () => {
         this.#view.invalidate();
         this.#cleanupTimer.wake();
       },
--- a/box/request_handler.ts
+++ b/box/request_handler.ts
@@ -30,7 +30,7 @@
 /** Handles requests. */
 export class RequestHandler {
   readonly #options: RequestHandlerOptions;
-  readonly #splits = new Map<string, ServiceCredits>();
+  readonly #serviceCredits = new Map<string, ServiceCredits>();
 
   /**
    * @param options - Dependencies of the handler.
@@ -119,9 +119,9 @@
     }
     const { service, credits } = selectService(
       target.services,
-      this.#splits.get(name) ?? new Map(),
+      this.#serviceCredits.get(name) ?? new Map(),
     );
-    this.#splits.set(name, credits);
+    this.#serviceCredits.set(name, credits);
     return [service];
   }
 
--- a/box/request_terms.ts
+++ b/box/request_terms.ts
@@ -18,7 +18,7 @@
 const OPENING_MARGIN_MS = 20;
 
 /** Limits of a request that the policy and the configuration determine. */
-export interface DecidedTerms extends Pick<Admission, "maxAttempts" | "finishShare"> {
+export interface RequestLimits extends Pick<Admission, "maxAttempts" | "finishShare"> {
   /** Maximum expected queue time of its calls at leafs, in milliseconds. */
   readonly maxQueueMs: number;
 }
@@ -34,7 +34,7 @@
 export function requestTerms(
   { arrivedAtMs, opensConnection, terms }: IncomingRequest,
   route: Route,
-  { maxAttempts, finishShare, maxQueueMs }: DecidedTerms,
+  { maxAttempts, finishShare, maxQueueMs }: RequestLimits,
 ): RequestTerms {
   const marginMs = ANSWER_MARGIN_MS + (opensConnection ? OPENING_MARGIN_MS : 0);
   const waitMs = Math.min(terms.waitMs ?? route.timeoutMs, route.timeoutMs);
--- a/box/route_policies.ts
+++ b/box/route_policies.ts
@@ -124,12 +124,12 @@
   #limit(
     admission: Admission,
     { caller, boxCount, nowMs }: AdmissionInput,
-    { callerRequestsPerSecond: callerPerSecond }: PolicyDecision,
+    { callerRequestsPerSecond }: PolicyDecision,
   ): Admission {
-    if (callerPerSecond === 0) {
+    if (callerRequestsPerSecond === 0) {
       return admission;
     }
-    const perSecond = callerPerSecond / Math.max(1, boxCount);
+    const perSecond = callerRequestsPerSecond / Math.max(1, boxCount);
     const rate = { perSecond, burst: Math.max(1, perSecond) };
     const storedBucket = this.#buckets.get(caller) ?? { tokens: rate.burst, updatedAtMs: nowMs };
     const bucket = refill(storedBucket, rate, { nowMs });
