--- a/leafs/leaf_health.ts
+++ b/leafs/leaf_health.ts
@@ -126,11 +126,11 @@
       ? {}
       : { reportedLoad: end.reportedLoad, reportedAtMs: end.nowMs };
   const { slowdownFactor: factor, nowMs } = end;
-  const pace =
+  const slowdown =
     factor === undefined
       ? condition.slowdown
       : recordSlowdown(condition.slowdown, { factor, nowMs });
-  const ended = { ...condition, openCalls, pace, ...told };
+  const ended = { ...condition, openCalls, slowdown, ...told };
   return END_HANDLERS[end.result](ended, end, tookMs / Math.max(1, factor ?? 1));
 }
 
