--- a/model/catalog_object.ts
+++ b/model/catalog_object.ts
@@ -1,57 +1,57 @@
 /**
- * Objects that last: they live in the platform's object API and every daemon holds a copy.
+ * Persistent objects: stored in the platform's object API and replicated to every daemon.
  *
  * @module
  */
 
-/** Kinds of objects that rackvale keeps. */
+/** Kinds of catalog objects. */
 export type ObjectKind = "service" | "shardmap" | "boxlist";
 
-/** One past change of an object. */
+/** One entry of an object's change history. */
 export interface HistoryEntry {
-  /** Revision that the change made. */
+  /** Revision that the change created. */
   readonly revision: number;
-  /** Submission that made it. */
+  /** ID of the submission that made the change. */
   readonly submissionId: string;
-  /** Operator who submitted it. */
+  /** Operator who submitted the change. */
   readonly author: string;
-  /** Wall-clock milliseconds of the submission, for people to read; nothing is decided by it. */
+  /** Wall-clock time of the submission, in milliseconds since the epoch. For display only. */
   readonly submittedAtEpochMs: number;
 }
 
-/** An object with its revision; of two copies the higher revision is always the one kept. */
+/** An object with its revision; when copies differ, the one with the higher revision wins. */
 export interface CatalogObject {
   readonly kind: ObjectKind;
   readonly name: string;
-  /** Counts up by one with each accepted change; never goes back. */
+  /** Increases by one with each accepted change; never decreases. */
   readonly revision: number;
-  /** Whether the object was removed; the marker stays so that no box brings it back. */
+  /** Tombstone: the object was deleted. Kept so that an outdated copy cannot restore the object. */
   readonly deleted: boolean;
-  /** Latest changes, newest first, at most `HISTORY_ENTRIES`. */
+  /** Most recent changes, newest first; at most `HISTORY_ENTRIES`. */
   readonly history: ReadonlyArray<HistoryEntry>;
-  /** A `ServiceConfig`, `ShardMap` or `BoxList`, checked by its schema on the way in. */
+  /** A `ServiceConfig`, `ShardMap` or `BoxList`, validated when it is received. */
   readonly value: unknown;
 }
 
-/** Changes kept in an object's history. */
+/** Maximum number of entries in an object's history. */
 export const HISTORY_ENTRIES = 20;
 
-/** One box of the platform's box list. */
+/** One box in the platform's box list. */
 export interface BoxListEntry {
   readonly box: string;
   readonly address: string;
   readonly dataCentre: string;
-  /** Whether the platform says that the box is leaving. */
+  /** Whether the platform has marked the box for removal. */
   readonly leaving: boolean;
-  /** Port of the box's entry daemon for peers; 0 where it has none. */
+  /** Peer port of the box's entry daemon; 0 if it runs none. */
   readonly entryPeerPort: number;
-  /** Port of the box's pool daemon for peers; 0 where it has none. */
+  /** Peer port of the box's pool daemon; 0 if it runs none. */
   readonly poolPeerPort: number;
 }
 
-/** The platform's box list as last read; it lags. */
+/** The platform's box list as last read; it may be out of date. */
 export interface BoxList {
-  /** The platform's own counter of changes of the list. */
+  /** Version of the list, incremented by the platform with each change. */
   readonly version: number;
   readonly boxes: ReadonlyArray<BoxListEntry>;
 }
--- a/model/evacuation_update.ts
+++ b/model/evacuation_update.ts
@@ -1,13 +1,13 @@
 /**
- * What boxes tell one another of data centres that operators have emptied.
+ * The update that boxes exchange about data centres that operators have evacuated.
  *
  * @module
  */
 
-/** The data centres that are emptied, as of a position of the store. */
+/** The set of evacuated data centres at a position of the store. */
 export interface EvacuationUpdate {
-  /** Position of the store up to which the sender knows them. */
+  /** Store position up to which the sender has applied changes. */
   readonly position: number;
-  /** All data centres that are emptied. */
+  /** All evacuated data centres. */
   readonly dataCentres: ReadonlyArray<string>;
 }
--- a/model/examples_test.ts
+++ b/model/examples_test.ts
@@ -5,7 +5,7 @@
 
 const files = readdirSync("examples").filter((file) => file.endsWith(".json"));
 
-t.test("every example is accepted as it stands", async (t) => {
+t.test("every example configuration is valid", async (t) => {
   t.equal(files.length, 16);
   for (const file of files) {
     const data: unknown = JSON.parse(readFileSync(`examples/${file}`, "utf8"));
--- a/model/limits.ts
+++ b/model/limits.ts
@@ -1,23 +1,23 @@
 /**
- * Sizes and times that several parts keep to.
+ * Sizes and time limits shared by several modules.
  *
  * @module
  */
 
-/** Largest body accepted from a caller or an operator, in bytes; the platform's own bound. */
+/** Maximum size of a request body from a caller or operator, in bytes; the platform's limit. */
 export const MAX_BODY_BYTES = 1_000_000;
 
-/** Longest deadline a caller may set, in milliseconds. */
+/** Maximum deadline that a caller may set, in milliseconds. */
 export const MAX_DEADLINE_MS = 60_000;
 
-/** How long callers may keep the list of entries, in milliseconds. */
+/** How long callers may cache the list of entry addresses, in milliseconds. */
 export const ADDRESS_LIST_TTL_MS = 5_000;
 
-/** How long a ticket may be used, in milliseconds. */
+/** How long a ticket is valid, in milliseconds. */
 export const TICKET_TTL_MS = 600_000;
 
-/** Time kept back from a caller's deadline to write the answer, in milliseconds. */
+/** Part of a caller's deadline reserved for writing the answer, in milliseconds. */
 export const ANSWER_MARGIN_MS = 8;
 
-/** Most shards of one snapshot. */
+/** Maximum number of shards in a snapshot. */
 export const MAX_SHARDS = 2_000;
--- a/model/member.ts
+++ b/model/member.ts
@@ -1,34 +1,34 @@
 /**
- * A daemon as the others know it.
+ * A daemon as a member of the cluster.
  *
  * @module
  */
 
-/** What a daemon does. */
+/** Role of a daemon. */
 export type Role = "entry" | "pool";
 
-/** How far a member can be relied on, as heard from itself or from others. */
+/** Liveness of a member, as reported by itself or by other members. */
 export type MemberState = "joining" | "alive" | "suspect" | "leaving" | "dead";
 
-/** One daemon of the system. */
+/** One daemon of the cluster. */
 export interface Member {
-  /** Name of the daemon: its box and role. */
+  /** Identifies the daemon by its box and role. */
   readonly memberId: string;
-  /** Never the same for two runs of a daemon. */
+  /** Unique to each run of the daemon. */
   readonly incarnation: string;
-  /** Milliseconds of the epoch at the daemon's start; the later of two runs replaces the earlier. */
+  /** Start time of the daemon, in milliseconds since the epoch; a later run replaces an earlier one. */
   readonly startedAtEpochMs: number;
-  /** Counts up each time the daemon speaks up about its own state. */
+  /** Incremented each time the daemon publishes its own state. */
   readonly version: number;
   readonly state: MemberState;
   readonly role: Role;
   readonly box: string;
   readonly dataCentre: string;
   readonly address: string;
-  /** Port for other daemons. */
+  /** Port that other daemons connect to. */
   readonly peerPort: number;
-  /** Port for callers and operators; 0 on a pool. */
+  /** Port that callers and operators connect to; 0 for a pool daemon. */
   readonly callerPort: number;
-  /** Processor that the daemon may use, in cores; not told where the box has no limit. */
+  /** CPU limit of the daemon, in cores; absent if the box has no limit. */
   readonly processorCores?: number;
 }
--- a/model/mod.ts
+++ b/model/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Types that all parts share.
+ * Data types and schemas shared by all modules.
  *
  * @module
  */
--- a/model/query.ts
+++ b/model/query.ts
@@ -1,55 +1,53 @@
 /**
- * A caller's query, the answer it gets, and the coverage that the answer states.
+ * A caller's query, its answer, and the shard coverage of the answer.
  *
  * @module
  */
 
-/** Priorities a caller may ask for, most urgent first. */
+/** Query priorities and their ranks; a lower rank is more urgent. */
 export const PRIORITY_RANKS = { urgent: 0, high: 1, normal: 2, low: 3 } as const;
 
 /** Name of a priority. */
 export type Priority = keyof typeof PRIORITY_RANKS;
 
-/** How rows of several shards are put together. */
+/** How rows from several shards are merged. */
 export interface MergeSpec {
-  /** Numeric or text field of a row to order by; without one, rows keep the order of the shards. */
+  /** Numeric or text field to order rows by; if absent, rows keep the order of the shards. */
   readonly orderBy?: string | undefined;
   /** Whether larger values come first. */
   readonly descending?: boolean | undefined;
-  /** Most rows that the answer holds; without one, all. */
+  /** Maximum number of rows in the answer; unlimited if absent. */
   readonly limitRows?: number | undefined;
 }
 
-/** One query as a caller sends it. */
+/** A query as sent by a caller. */
 export interface QueryRequest {
-  /** Service that is asked. */
+  /** Service that the query is for. */
   readonly service: string;
-  /** Who asks; limits per caller count by this name. */
+  /** Name of the caller; rate limits apply per caller name. */
   readonly caller: string;
-  /** Scope of rights; identical sub-requests are shared only within one scope. */
+  /** Authorization scope; identical sub-requests are shared only within one scope. */
   readonly rights: string;
-  /** Milliseconds from arrival after which the answer is of no use. */
+  /** Time limit for the answer, in milliseconds from arrival. */
   readonly deadlineMs: number;
-  /** Urgency of the query. */
   readonly priority: Priority;
-  /** Share of shards, 0 to 1, that the caller wants covered. */
+  /** Fraction of shards, 0 to 1, that the caller wants in the answer. */
   readonly wantedCoverage: number;
-  /** Whether running the query twice is harmless. */
+  /** Whether the query is idempotent and may run more than once. */
   readonly repeatable: boolean;
-  /** Ticket of a query that is not repeatable. */
+  /** Ticket that ensures a non-repeatable query runs at most once. */
   readonly ticket?: string | undefined;
-  /** Number of the query under its ticket, counted up by the caller from 1. */
+  /** Sequence number of the query within its ticket, assigned by the caller from 1. */
   readonly sequence?: number | undefined;
-  /** How rows are merged. */
   readonly merge: MergeSpec;
-  /** What the leafs are asked; opaque to rackvale. */
+  /** Body that is passed on to the leafs; opaque to rackvale. */
   readonly body: unknown;
 }
 
-/** What became of a query. */
+/** Outcome of a query. */
 export type Outcome = "complete" | "partial" | "refused" | "unknown";
 
-/** Why a shard is lacking from an answer. */
+/** Why a shard is missing from an answer. */
 export type MissingReason =
   | "deadline"
   | "early finish"
@@ -63,47 +61,43 @@
   | "pool lost"
   | "caller gone";
 
-/** A shard that an answer lacks, and why. */
+/** A shard that is missing from an answer. */
 export interface MissingShard {
-  /** Name of the shard. */
   readonly shard: string;
-  /** Why its rows are not in the answer. */
+  /** Why the shard's rows are missing. */
   readonly reason: MissingReason;
-  /** Whether the shard's part is known not to have run. */
+  /** Whether the query is known not to have run on the shard. */
   readonly notRun: boolean;
 }
 
-/** Which shards of the answer's snapshot it includes and which it lacks. */
+/** Which shards of the answer's snapshot are included and which are missing. */
 export interface Coverage {
   /** Shards whose rows are in the answer. */
   readonly included: ReadonlyArray<string>;
-  /** Shards whose rows are not. */
+  /** Shards whose rows are missing. */
   readonly lacking: ReadonlyArray<MissingShard>;
 }
 
-/** A row as a leaf gave it. */
+/** A row as returned by a leaf. */
 export type Row = Readonly<Record<string, unknown>>;
 
 /** The answer to one query. */
 export interface QueryAnswer {
-  /** What became of the query. */
   readonly outcome: Outcome;
   /** Whether the query is known not to have run anywhere. */
   readonly notRun: boolean;
-  /** HTTP status code that carries the answer. */
+  /** HTTP status code of the answer. */
   readonly statusCode: number;
-  /** One sentence on a refusal or an unknown outcome; empty otherwise. */
+  /** Explains a refusal or an unknown outcome; empty otherwise. */
   readonly message: string;
-  /** Snapshot that every row was read at; empty when nothing was read. */
+  /** Snapshot that all rows were read from; empty if nothing was read. */
   readonly snapshot: string;
-  /** Included and lacking shards of that snapshot. */
   readonly coverage: Coverage;
-  /** Merged rows. */
   readonly rows: ReadonlyArray<Row>;
-  /** Milliseconds after which asking again may help; 0 when it is of no use to wait. */
+  /** Time after which a retry may succeed, in milliseconds; 0 if a retry would not help. */
   readonly retryAfterMs: number;
-  /** Revision of the service's configuration that the query ran under. */
+  /** Revision of the service configuration that the query ran with. */
   readonly revision: number;
-  /** Milliseconds since this box last knew its configuration confirmed by the platform. */
+  /** Time since the platform last confirmed this box's configuration, in milliseconds. */
   readonly confirmedAgoMs: number;
 }
--- a/model/schema.ts
+++ b/model/schema.ts
@@ -1,5 +1,5 @@
 /**
- * Checks data from outside against the model and says in one sentence what is wrong.
+ * Validates external data against the model.
  *
  * @module
  */
@@ -10,12 +10,12 @@
 import type { QueryRequest } from "./query.js";
 import type { ServiceConfig, ShardMap } from "./service.js";
 
-/** Why data does not fit the model. */
+/** A validation error. */
 export interface SchemaError {
   readonly kind: "schema";
-  /** Path of the faulty field, with dots; empty when the whole is at fault. */
+  /** Dotted path of the invalid field; empty if the error concerns the entire value. */
   readonly field: string;
-  /** One sentence for a person. */
+  /** Human-readable description of the error. */
   readonly message: string;
 }
 
@@ -71,7 +71,7 @@
       context.issues.push({
         code: "custom",
         path: ["backendServers"],
-        message: `leaf "${duplicate}" stands twice`,
+        message: `leaf "${duplicate}" is listed more than once`,
         input: duplicate,
       });
     }
@@ -91,7 +91,7 @@
       context.issues.push({
         code: "custom",
         path: ["shards"],
-        message: `shard "${duplicate}" stands twice`,
+        message: `shard "${duplicate}" is listed more than once`,
         input: duplicate,
       });
     }
@@ -182,31 +182,31 @@
 });
 
 /**
- * Checks a service's configuration.
+ * Parses and validates a service configuration.
  *
- * @param data - What an operator or the platform gave.
- * @returns The configuration, or the first fault found.
+ * @param data - Data from an operator or the platform.
+ * @returns The configuration, or the first error found.
  */
 export function parseServiceConfig(data: unknown): Result<ServiceConfig, SchemaError> {
   return parseWith(SERVICE_CONFIG, data);
 }
 
 /**
- * Checks a shard map.
+ * Parses and validates a shard map.
  *
- * @param data - What an operator or the platform gave.
- * @returns The shard map, or the first fault found.
+ * @param data - Data from an operator or the platform.
+ * @returns The shard map, or the first error found.
  */
 export function parseShardMap(data: unknown): Result<ShardMap, SchemaError> {
   return parseWith(SHARD_MAP, data);
 }
 
 /**
- * Checks a caller's query; rights default to the caller's own name, so that nothing is shared
- * with other callers unless they ask for it.
+ * Parses and validates a caller's query. The authorization scope (`rights`) defaults to the caller's
+ * name, so that sub-requests are not shared between callers unless requested.
  *
- * @param data - What the caller sent.
- * @returns The query, or the first fault found.
+ * @param data - Data from the caller.
+ * @returns The query, or the first error found.
  */
 export function parseQueryRequest(data: unknown): Result<QueryRequest, SchemaError> {
   return parseWith(QUERY_REQUEST, data).map((request) => ({
@@ -217,10 +217,10 @@
 }
 
 /**
- * Checks an object read from the platform or heard from a peer, its value included.
+ * Parses and validates a catalog object from the platform or a peer, including its value.
  *
  * @param data - The object as received.
- * @returns The object, or the first fault found.
+ * @returns The object, or the first error found.
  */
 export function parseCatalogObject(data: unknown): Result<CatalogObject, SchemaError> {
   return parseWith(CATALOG_OBJECT, data).andThen((object) => {
@@ -232,10 +232,10 @@
 }
 
 /**
- * Checks the platform's box list.
+ * Parses and validates the platform's box list.
  *
  * @param data - The list as received.
- * @returns The list, or the first fault found.
+ * @returns The list, or the first error found.
  */
 export function parseBoxList(data: unknown): Result<BoxList, SchemaError> {
   return parseWith(BOX_LIST, data);
--- a/model/schema_test.ts
+++ b/model/schema_test.ts
@@ -12,7 +12,7 @@
 
 const QUERY = { service: "bidscope", caller: "a", deadlineMs: 100 };
 
-t.test("parseQueryRequest() names the field at fault in one sentence", async (t) => {
+t.test("parseQueryRequest() names the invalid field in its error message", async (t) => {
   const faults: ReadonlyArray<readonly [object, string]> = [
     [{ ...QUERY, deadlineMs: 0 }, "deadlineMs"],
     [{ ...QUERY, deadlineMs: 1e99 }, "deadlineMs"],
@@ -30,13 +30,13 @@
 });
 
 t.test(
-  "parseQueryRequest() shares nothing with others unless the caller asks for it",
+  "parseQueryRequest() defaults rights to the caller, so that nothing is shared implicitly",
   async (t) => {
     t.equal(parseQueryRequest(QUERY)._unsafeUnwrap().rights, "a");
   },
 );
 
-t.test("the parsers take any data without throwing", async (t) => {
+t.test("the parsers accept arbitrary data without throwing", async (t) => {
   const parsers = [
     parseBoxList,
     parseCatalogObject,
@@ -53,7 +53,7 @@
   t.pass();
 });
 
-t.test("decodeObjects() and readLeafAnswer() take any text without throwing", async (t) => {
+t.test("decodeObjects() and readLeafAnswer() accept arbitrary text without throwing", async (t) => {
   fc.assert(
     fc.property(fc.string(), fc.integer(), fc.json(), (text, statusCode, json) => {
       const answers = [text, json].map((each) =>
@@ -67,10 +67,15 @@
   t.pass();
 });
 
-t.test("readLeafAnswer() believes a refusal only where the leaf says it has not run", async (t) => {
-  const refusal = JSON.stringify({ reason: "overloaded", notRun: true, retryAfterMs: 3 });
-  const silent = JSON.stringify({ reason: "overloaded" });
-  t.match(readLeafAnswer({ statusCode: 503, headers: {}, text: refusal }), { kind: "refused" });
-  t.match(readLeafAnswer({ statusCode: 503, headers: {}, text: silent }), { kind: "failed" });
-  t.match(readLeafAnswer({ statusCode: 500, headers: {}, text: refusal }), { kind: "failed" });
-});
+t.test(
+  "readLeafAnswer() reports a refusal only if the leaf states that the call has not run",
+  async (t) => {
+    const refusal = JSON.stringify({ reason: "overloaded", notRun: true, retryAfterMs: 3 });
+    const withoutNotRun = JSON.stringify({ reason: "overloaded" });
+    t.match(readLeafAnswer({ statusCode: 503, headers: {}, text: refusal }), { kind: "refused" });
+    t.match(readLeafAnswer({ statusCode: 503, headers: {}, text: withoutNotRun }), {
+      kind: "failed",
+    });
+    t.match(readLeafAnswer({ statusCode: 500, headers: {}, text: refusal }), { kind: "failed" });
+  },
+);
--- a/model/service.ts
+++ b/model/service.ts
@@ -1,86 +1,77 @@
 /**
- * A service as operators configure it: its backend servers with their leafs, its policy programs
- * and its limits.
+ * Service configuration: backend servers with their leafs, policy programs and limits.
  *
  * @module
  */
 
-/** One leaf of a backend server: the smallest place a call can run. */
+/** One leaf of a backend server; the smallest unit that runs a call. */
 export interface LeafSpec {
   /** Name of the leaf, unique within the service. */
   readonly leafId: string;
   /** TCP port of the leaf on its backend server's address. */
   readonly port: number;
-  /** Calls the leaf runs at the same time. */
+  /** Maximum number of calls that the leaf runs concurrently. */
   readonly slots: number;
-  /** Connections the leaf accepts at the same time. */
+  /** Maximum number of concurrent connections that the leaf accepts. */
   readonly maxConnections: number;
 }
 
-/** One backend server (an instance of a service) and the leafs that it holds. */
+/** One backend server (an instance of a service) and its leafs. */
 export interface BackendServerSpec {
   /** Name of the backend server, unique within the service. */
   readonly serverId: string;
-  /** Box of the box list that the server runs on. */
+  /** Box that the server runs on, as named in the box list. */
   readonly box: string;
-  /** IP address of the server. */
+  /** IP address. */
   readonly address: string;
-  /** Data centre that the server stands in. */
+  /** Data centre that the server is located in. */
   readonly dataCentre: string;
-  /** Leafs of this server. */
   readonly leafs: ReadonlyArray<LeafSpec>;
 }
 
-/** The decisions that a policy program can take. */
+/** The decisions that policy programs make. */
 export type PolicyKind = "place" | "limit" | "retry" | "refuse" | "finish";
 
-/** Policy programs as CEL source text, by decision; a missing one takes the built-in default. */
+/** Policy programs as CEL source text, by decision; the built-in default applies where absent. */
 export type PolicySources = { readonly [K in PolicyKind]?: string | undefined };
 
-/** Limits that hold for a service as a whole, over all boxes together. */
+/** Limits of a service, applied across all boxes. */
 export interface ServiceLimits {
-  /** Requests a second that all boxes together admit; 0 means no limit. */
+  /** Requests per second admitted by all boxes together; 0 means no limit. */
   readonly requestsPerSecond: number;
-  /** Requests that may be admitted at one moment above the rate. */
+  /** Burst size: requests that may be admitted at once above the rate. */
   readonly burstRequests: number;
-  /** Share of extra leaf calls (hedges and retries) over one call per shard, 0 to 1. */
+  /** Maximum ratio of extra leaf calls (hedges and retries) to first calls, 0 to 1. */
   readonly extraLoadShare: number;
 }
 
-/** A service's whole configuration. */
+/** The complete configuration of a service. */
 export interface ServiceConfig {
-  /** Name of the service. */
   readonly service: string;
-  /** Backend servers of the service. */
   readonly backendServers: ReadonlyArray<BackendServerSpec>;
-  /** Policy programs of the service. */
   readonly policies: PolicySources;
-  /** Limits of the service. */
   readonly limits: ServiceLimits;
 }
 
-/** One shard of a snapshot and the leafs that hold a replica of it. */
+/** One shard of a snapshot and the leafs that serve a replica of it. */
 export interface ShardSpec {
   /** Name of the shard, unique within its snapshot. */
   readonly shard: string;
-  /** Leafs that hold the shard, in no particular order. */
+  /** Leafs that serve the shard, in no particular order. */
   readonly leafIds: ReadonlyArray<string>;
 }
 
-/** One version of a service's indexes: the shards it consists of. */
+/** One version of a service's indexes, as a set of shards. */
 export interface SnapshotSpec {
-  /** Name of the snapshot. */
   readonly snapshot: string;
-  /** All shards of the snapshot. */
   readonly shards: ReadonlyArray<ShardSpec>;
 }
 
-/** The snapshots of a service that are being served, and the one new queries read. */
+/** The snapshots of a service that are being served. */
 export interface ShardMap {
-  /** Name of the service. */
   readonly service: string;
-  /** Snapshot that new queries pin. */
+  /** Snapshot that new queries read. */
   readonly currentSnapshot: string;
-  /** Snapshots that leafs still hold. */
+  /** All snapshots that leafs still serve. */
   readonly snapshots: ReadonlyArray<SnapshotSpec>;
 }
--- a/model/store_position.ts
+++ b/model/store_position.ts
@@ -1,28 +1,28 @@
 /**
- * The order of what the store tells: by era, then by revision.
+ * Total order of changes in the store: by era, then by revision.
  *
- * A store that comes back from a copy counts its revisions on from an earlier one and gives numbers out again, so that
- * a revision alone does not tell which of two pieces of news is the later one. Its era rises each time.
+ * A store that is restored from a backup reuses revision numbers, so the revision alone does not order two changes. The
+ * era increases with each restore.
  *
  * @module
  */
 
-/** Era and revision as one number that rises with both; the revision itself while the era is 0. */
+/** Era and revision combined into one number; equal to the revision in era 0. */
 export type StorePosition = number;
 
-/** Revisions of one era: more than a store writes in a hundred years at 300 changes a second. */
+/** Number of revisions in an era; high enough never to be exceeded. */
 const ERA_REVISIONS = 2 ** 40;
 
-/** An era and a revision of it. */
+/** A revision and the era it belongs to. */
 export interface EraRevision {
   readonly era: number;
   readonly revision: number;
 }
 
 /**
- * Makes the position of a revision.
+ * Combines an era and a revision into a position.
  *
- * @param place - The era and the revision.
+ * @param eraRevision - Era and revision.
  * @returns The position.
  */
 export function storePosition({ era, revision }: EraRevision): StorePosition {
@@ -30,19 +30,19 @@
 }
 
 /**
- * Tells the era of a position.
+ * Returns the era of a position.
  *
- * @param position - The position.
- * @returns The era; 0 where the store tells none.
+ * @param position - Position in the store.
+ * @returns The era; 0 if the store reports none.
  */
 export function eraOf(position: StorePosition): number {
   return Math.floor(position / ERA_REVISIONS);
 }
 
 /**
- * Tells the revision of a position, by which the store itself counts.
+ * Returns the revision of a position, as numbered by the store.
  *
- * @param position - The position.
+ * @param position - Position in the store.
  * @returns The revision.
  */
 export function revisionOf(position: StorePosition): number {
