--- a/core/effects.ts
+++ b/core/effects.ts
@@ -1,17 +1,17 @@
 /**
- * Effects that every core may ask for.
+ * Effects that any core may emit.
  *
  * @module
  */
 
-/** Sets or replaces a timer; its firing comes back as an event with the same key. */
+/** Sets or replaces a timer; when it fires, the core receives an event with the same key. */
 export interface SetTimerEffect<Timer> {
   readonly kind: "setTimer";
   readonly timer: Timer;
   readonly delayMs: number;
 }
 
-/** Takes back a timer. */
+/** Cancels a timer. */
 export interface ClearTimerEffect<Timer> {
   readonly kind: "clearTimer";
   readonly timer: Timer;
@@ -21,14 +21,14 @@
 export interface LogEffect {
   readonly kind: "log";
   readonly level: "info" | "warn" | "error";
-  /** Part that speaks; the line's prefix. */
+  /** Component that logs; the prefix of the line. */
   readonly component: string;
-  /** One short sentence. */
+  /** Short message text. */
   readonly message: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Counts something that happened. */
+/** Increments a counter metric. */
 export interface CountEffect {
   readonly kind: "count";
   readonly metric: string;
@@ -36,7 +36,7 @@
   readonly tags: Readonly<Record<string, string>>;
 }
 
-/** Reports a duration. */
+/** Records a duration. */
 export interface TimingEffect {
   readonly kind: "timing";
   readonly metric: string;
@@ -44,46 +44,46 @@
   readonly tags: Readonly<Record<string, string>>;
 }
 
-/** Effects that only tell about the decisions. */
+/** Effects that only report and do not act. */
 export type TelemetryEffect = LogEffect | CountEffect | TimingEffect;
 
 /**
- * Makes a log line.
+ * Creates a log effect at level "info".
  *
- * @param part - Part that speaks.
- * @param message - One short sentence.
- * @param fields - Values beside it.
+ * @param component - Component that logs.
+ * @param message - Short message text.
+ * @param fields - Structured fields of the line.
  * @returns The effect.
  */
 export function logInfo(
-  part: string,
+  component: string,
   message: string,
   fields: LogEffect["fields"] = {},
 ): LogEffect {
-  return { kind: "log", level: "info", component: part, message, fields };
+  return { kind: "log", level: "info", component, message, fields };
 }
 
 /**
- * Makes a log line that asks for attention.
+ * Creates a log effect at level "warn".
  *
- * @param part - Part that speaks.
- * @param message - One short sentence.
- * @param fields - Values beside it.
+ * @param component - Component that logs.
+ * @param message - Short message text.
+ * @param fields - Structured fields of the line.
  * @returns The effect.
  */
 export function logWarn(
-  part: string,
+  component: string,
   message: string,
   fields: LogEffect["fields"] = {},
 ): LogEffect {
-  return { kind: "log", level: "warn", component: part, message, fields };
+  return { kind: "log", level: "warn", component, message, fields };
 }
 
 /**
- * Makes a count of one.
+ * Creates an effect that increments a counter by one.
  *
  * @param metric - Name of the metric.
- * @param tags - What it is split by.
+ * @param tags - Tags of the metric.
  * @returns The effect.
  */
 export function countOne(metric: string, tags: CountEffect["tags"] = {}): CountEffect {
@@ -91,11 +91,11 @@
 }
 
 /**
- * Reports that an invariant does not hold: it is logged and counted, and the caller fails only the
- * request at hand.
+ * Creates effects that log and count a violated invariant. The calling code should fail only the
+ * current request.
  *
- * @param name - Which invariant.
- * @param fields - What was found.
+ * @param name - Name of the invariant.
+ * @param fields - Values that violate it.
  * @returns The effects.
  */
 export function invariantBroken(
--- a/core/mod.ts
+++ b/core/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What the cores of all daemons have in common: steps, timers, log lines and counts as data.
+ * Building blocks of the daemons' cores: state transitions and effects as data.
  *
  * @module
  */
--- a/core/step.ts
+++ b/core/step.ts
@@ -1,26 +1,26 @@
 /**
- * One step of a reducer: the state after an event and what is to be done.
+ * One step of a reducer: the state after an event and the effects to run.
  *
  * @module
  */
 
-/** State after an event, and the effects that the shell runs. */
+/** State after an event, and the effects for the shell to run. */
 export interface Step<State, Effect> {
   readonly state: State;
   readonly effects: ReadonlyArray<Effect>;
 }
 
-/** An event as it goes through an xstate actor. */
+/** An event wrapped for an xstate actor. */
 export interface CoreEvent<Event> {
   readonly type: "core";
   readonly event: Event;
 }
 
 /**
- * Makes a step.
+ * Creates a step.
  *
  * @param state - State after the event.
- * @param effects - What is to be done, in order.
+ * @param effects - Effects to run, in order.
  * @returns The step.
  */
 export function step<State, Effect>(
@@ -31,11 +31,11 @@
 }
 
 /**
- * Goes on from one step to the next and keeps the effects of both.
+ * Chains two steps and concatenates their effects.
  *
- * @param first - The step so far.
- * @param next - Makes the following step from the state reached.
- * @returns Both steps as one.
+ * @param first - The first step.
+ * @param next - Computes the second step from the state after the first.
+ * @returns The combined step.
  */
 export function andThen<State, Effect>(
   first: Step<State, Effect>,
@@ -52,12 +52,12 @@
 }
 
 /**
- * Runs a step for each item in turn.
+ * Runs a step for each item in order and concatenates the effects.
  *
- * @param start - The step so far.
- * @param items - What to go through.
- * @param next - Makes the step for one item.
- * @returns All steps as one.
+ * @param start - The initial step.
+ * @param items - Items to process.
+ * @param next - Computes the step for one item.
+ * @returns The combined step.
  */
 export function forEachStep<State, Effect, Item>(
   start: Step<State, Effect>,
