--- a/leafs/choose_leaf_test.ts
+++ b/leafs/choose_leaf_test.ts
@@ -3,8 +3,8 @@
 import type { Leaf } from "./leaf.js";
 import { INITIAL_LEAF_HEALTH, type LeafHealth } from "./leaf_health.js";
 
-const NEAR: Leaf = {
-  leafId: "b near",
+const LOCAL: Leaf = {
+  leafId: "b local",
   bornAtEpochMs: 1,
   entryRevision: 1,
   sequence: 1,
@@ -17,78 +17,85 @@
   warmingForMs: 0,
 };
 
-const FAR: Leaf = { ...NEAR, leafId: "a far", dataCentre: "there" };
+const REMOTE: Leaf = { ...LOCAL, leafId: "a remote", dataCentre: "there" };
 
-function viewOf(
-  conditions: Readonly<Record<string, Partial<LeafHealth>>>,
-  more: Partial<LeafChoiceContext> = {},
+function contextWith(
+  health: Readonly<Record<string, Partial<LeafHealth>>>,
+  overrides: Partial<LeafChoiceContext> = {},
 ): LeafChoiceContext {
   return {
     nowMs: 1_000,
     eventLoopIdleMs: 1_000,
-    health: (leafId) => ({ ...INITIAL_LEAF_HEALTH, meanMs: 20, ...conditions[leafId] }),
+    health: (leafId) => ({ ...INITIAL_LEAF_HEALTH, meanMs: 20, ...health[leafId] }),
     distance: ({ dataCentre }) => (dataCentre === "here" ? "zone" : "remote"),
     excluded: new Set(),
-    ...more,
+    ...overrides,
   };
 }
 
-t.test("chooseLeaf() prefers the near leaf of two that behave alike", async (t) => {
-  t.equal(chooseLeaf([FAR, NEAR], viewOf({}))?.leaf, NEAR);
+t.test("chooseLeaf() prefers the local leaf of two with equal health", async (t) => {
+  t.equal(chooseLeaf([REMOTE, LOCAL], contextWith({}))?.leaf, LOCAL);
 });
 
-t.test("chooseLeaf() turns from a near leaf that refuses half of its calls", async (t) => {
+t.test("chooseLeaf() avoids a local leaf that refuses half of its calls", async (t) => {
   const shedding = { failureRate: 0.45, lastFailureAtMs: 900 };
-  t.equal(chooseLeaf([NEAR, FAR], viewOf({ "b near": shedding }))?.leaf, FAR);
-  const both = viewOf({ "b near": shedding, "a far": shedding });
-  t.equal(chooseLeaf([NEAR, FAR], both)?.leaf, NEAR, "not where the other is no better");
+  t.equal(chooseLeaf([LOCAL, REMOTE], contextWith({ "b local": shedding }))?.leaf, REMOTE);
+  const both = contextWith({ "b local": shedding, "a remote": shedding });
+  t.equal(chooseLeaf([LOCAL, REMOTE], both)?.leaf, LOCAL, "local if the remote leaf is no better");
   const single = { failureRate: 0.12, lastFailureAtMs: 900 };
-  t.equal(chooseLeaf([NEAR, FAR], viewOf({ "b near": single }))?.leaf, NEAR, "nor for one loss");
+  t.equal(
+    chooseLeaf([LOCAL, REMOTE], contextWith({ "b local": single }))?.leaf,
+    LOCAL,
+    "local after a single failure",
+  );
 });
 
-t.test("chooseLeaf() judges silence by the time that the box itself had", async (t) => {
+t.test("chooseLeaf() detects unresponsive leafs by event-loop idle time", async (t) => {
   const open = { openCalls: [{ callId: 1, sentAtIdleMs: 990 }] };
-  const busy = viewOf({ "b near": open }, { nowMs: 5_000 });
-  t.equal(chooseLeaf([NEAR, FAR], busy)?.leaf, NEAR);
-  const waiting = viewOf({ "b near": open }, { nowMs: 5_000, eventLoopIdleMs: 1_200 });
-  t.equal(chooseLeaf([NEAR, FAR], waiting)?.leaf, FAR);
+  const busy = contextWith({ "b local": open }, { nowMs: 5_000 });
+  t.equal(chooseLeaf([LOCAL, REMOTE], busy)?.leaf, LOCAL);
+  const waiting = contextWith({ "b local": open }, { nowMs: 5_000, eventLoopIdleMs: 1_200 });
+  t.equal(chooseLeaf([LOCAL, REMOTE], waiting)?.leaf, REMOTE);
 });
 
-t.test("isSilent() counts from the leaf's last answer, whatever call that was", async (t) => {
+t.test("isUnresponsive() measures from the leaf's last answer to any call", async (t) => {
   const long = { openCalls: [{ callId: 1, sentAtIdleMs: 0 }], meanMs: 20 };
   t.ok(isUnresponsive({ ...INITIAL_LEAF_HEALTH, ...long }, 900));
   t.notOk(isUnresponsive({ ...INITIAL_LEAF_HEALTH, ...long, lastAnswerAtIdleMs: 880 }, 900));
   t.notOk(
     isUnresponsive({ ...INITIAL_LEAF_HEALTH, lastAnswerAtIdleMs: 0 }, 900),
-    "nothing is awaited",
+    "no call is open",
   );
 });
 
-t.test("isSilent() tells a pause sooner where several calls are open", async (t) => {
+t.test("isUnresponsive() detects a pause sooner with several open calls", async (t) => {
   const one = [{ callId: 1, sentAtIdleMs: 850 }];
   const several = [...one, { callId: 2, sentAtIdleMs: 860 }];
   t.notOk(isUnresponsive({ ...INITIAL_LEAF_HEALTH, meanMs: 20, openCalls: one }, 900));
   t.ok(isUnresponsive({ ...INITIAL_LEAF_HEALTH, meanMs: 20, openCalls: several }, 900));
 });
 
-t.test("chooseLeaf() goes by the pace that a leaf reports now", async (t) => {
-  const pace = { factor: 11, reportedAtMs: 990, sinceMs: 990 };
-  const view = viewOf({ "b near": { slowdown: pace } }, { objectiveMs: 100 });
-  t.equal(chooseLeaf([FAR, NEAR], view)?.leaf, FAR);
-  t.equal(chooseLeaf([FAR, NEAR], { ...view, nowMs: 2_000 })?.leaf, NEAR, "for a while");
+t.test("chooseLeaf() considers the slowdown that a leaf reports", async (t) => {
+  const slowdown = { factor: 11, reportedAtMs: 990, sinceMs: 990 };
+  const context = contextWith({ "b local": { slowdown } }, { objectiveMs: 100 });
+  t.equal(chooseLeaf([REMOTE, LOCAL], context)?.leaf, REMOTE);
+  t.equal(
+    chooseLeaf([REMOTE, LOCAL], { ...context, nowMs: 2_000 })?.leaf,
+    LOCAL,
+    "the report has expired",
+  );
 });
 
-t.test("chooseLeaf() keeps to a near leaf that is slow but in time", async (t) => {
+t.test("chooseLeaf() keeps a local leaf that is slow but within the objective", async (t) => {
   const slow = { factor: 2, reportedAtMs: 990, sinceMs: 990 };
-  const inTime = viewOf({ "b near": { meanMs: 22, slowdown: slow } }, { objectiveMs: 100 });
-  t.equal(chooseLeaf([FAR, NEAR], inTime)?.leaf, NEAR);
-  const late = viewOf({ "b near": { meanMs: 45, slowdown: slow } }, { objectiveMs: 100 });
-  t.equal(chooseLeaf([FAR, NEAR], late)?.leaf, FAR);
+  const inTime = contextWith({ "b local": { meanMs: 22, slowdown: slow } }, { objectiveMs: 100 });
+  t.equal(chooseLeaf([REMOTE, LOCAL], inTime)?.leaf, LOCAL);
+  const late = contextWith({ "b local": { meanMs: 45, slowdown: slow } }, { objectiveMs: 100 });
+  t.equal(chooseLeaf([REMOTE, LOCAL], late)?.leaf, REMOTE);
 });
 
-// On a day on which a query crashed 22 of 40 leafs the others had queues. Left for these, the calls of all queries met at
-// the leafs of another region, and reached them 0.6 s after they were written (two plays of two; none without).
-t.test("chooseLeaf() does not leave near leafs for their queues", async (t) => {
-  const queued = viewOf({ "b near": { meanMs: 90 } }, { objectiveMs: 100 });
-  t.equal(chooseLeaf([FAR, NEAR], queued)?.leaf, NEAR);
+// Guards against a mass shift of calls to another region while local leafs have queues after crashes.
+t.test("chooseLeaf() keeps local leafs that only have queues", async (t) => {
+  const queued = contextWith({ "b local": { meanMs: 90 } }, { objectiveMs: 100 });
+  t.equal(chooseLeaf([REMOTE, LOCAL], queued)?.leaf, LOCAL);
 });
--- a/leafs/leaf.ts
+++ b/leafs/leaf.ts
@@ -1,39 +1,38 @@
 /**
- * A leaf as its own entry in the registry tells of it.
+ * A leaf as described by its registry entry.
  *
  * @module
  */
 
 /** One leaf of a service. */
 export interface Leaf {
-  /** Names the leaf; one that starts again may keep it. */
+  /** Identifies the leaf; may be reused after a restart. */
   readonly leafId: string;
-  /** When it started, in milliseconds since the epoch, by its own clock; 0 where it does not tell. */
+  /** Start time by the leaf's own clock, in milliseconds since the epoch; 0 if not reported. */
   readonly bornAtEpochMs: number;
-  /** Position of the store at which its entry was written: of two entries of one era the later one holds. */
+  /** Store position at which the entry was written; within an era, the later entry is current. */
   readonly entryRevision: number;
-  /** Counts what the leaf has written in this incarnation. */
+  /** Number of entries that the leaf has written in this incarnation. */
   readonly sequence: number;
   readonly service: string;
   readonly address: string;
   readonly port: number;
   readonly dataCentre: string;
-  /** Requests that it runs at the same time. */
+  /** Number of requests that the leaf runs concurrently. */
   readonly slots: number;
-  /** Whether it has said that it will end and takes no new work. */
+  /** Whether the leaf is shutting down and accepts no new calls. */
   readonly draining: boolean;
-  /** Time for which it is still slow after its start, in milliseconds, as of its entry. */
+  /** Remaining warm-up time when the entry was written, in milliseconds. */
   readonly warmingForMs: number;
 }
 
 /**
- * Tells whether two entries of one id are of the same run of the leaf. One that started again knows nothing
- * of before: what was learnt of its former incarnation, or sent to it, says nothing of the next. The address
- * tells them apart as well, for leafs that do not say when they started.
+ * Returns whether two entries with the same ID describe the same incarnation of a leaf. Statistics and open calls do not
+ * carry over to a new incarnation. The address is compared as well, for leafs that do not report a start time.
  *
- * @param one - An entry.
- * @param other - Another one of the same id.
- * @returns Whether they are of one incarnation.
+ * @param one - A leaf entry.
+ * @param other - Another entry with the same ID.
+ * @returns Whether both describe the same incarnation.
  */
 export function isSameIncarnation(one: Leaf, other: Leaf): boolean {
   return (
--- a/leafs/leaf_health.ts
+++ b/leafs/leaf_health.ts
@@ -1,53 +1,47 @@
 /**
- * How a leaf has behaved towards this box: its latency, its load as told, its failures.
+ * Health of a leaf as observed by this box: latency, reported load and failures.
  *
  * @module
  */
 import { updateMean } from "../latency/mod.js";
 import { type LeafSlowdown, NO_SLOWDOWN, recordSlowdown } from "./leaf_slowdown.js";
 
-/** A call that is not answered yet. */
+/** A call that has not been answered yet. */
 export interface OpenLeafCall {
   readonly callId: number;
-  /** When it was sent, by the clock that stands still while this box is busy, in milliseconds. */
+  /** Event-loop idle time when the call was sent, in milliseconds. */
   readonly sentAtIdleMs: number;
 }
 
-/** What this box has seen of one leaf. */
+/** Health of one leaf as observed by this box. Also used for boxes that calls are relayed through. */
 export interface LeafHealth {
-  /**
-   * Mean time of an answered call while the leaf works as usual, in milliseconds, the network included; 0 before the
-   * first.
-   */
+  /** Mean latency of answered calls at normal speed, network included, in milliseconds; 0 before the first answer. */
   readonly meanMs: number;
-  /**
-   * Mean time that the leaf itself takes for a call once it runs it, in milliseconds, worked out from
-   * the load that it told; 0 where it has told none.
-   */
+  /** Mean processing time without queueing, estimated from the reported load, in milliseconds; 0 if unknown. */
   readonly workMs: number;
-  /** Calls of this box that the leaf has not answered yet; few, so a list is the quickest. */
+  /** Calls of this box that the leaf has not answered yet. */
   readonly openCalls: ReadonlyArray<OpenLeafCall>;
-  /** When it last answered, by the clock that stands still while this box is busy, in milliseconds. */
+  /** Event-loop idle time when the leaf last answered, in milliseconds. */
   readonly lastAnswerAtIdleMs: number;
-  /** Requests running and waiting at the leaf from all boxes, as it last told. */
+  /** Last reported number of requests from all boxes that are running or queued at the leaf. */
   readonly reportedLoad: number;
-  /** When it told that. */
+  /** Time of the last load report, in milliseconds. */
   readonly reportedAtMs: number;
-  /** How long work takes there, as it last reported. */
+  /** Last reported slowdown. */
   readonly slowdown: LeafSlowdown;
-  /** Share of the latest calls, 0 to 1, that the leaf refused or that came to nothing. */
+  /** Moving average of the fraction of calls that failed or were refused, 0 to 1. */
   readonly failureRate: number;
-  /** When a call last did. */
+  /** Time of the last failed or refused call, in milliseconds. */
   readonly lastFailureAtMs: number;
-  /** Calls that failed since the last success. */
+  /** Number of failed calls since the last success. */
   readonly consecutiveFailures: number;
-  /** Moment until which the leaf is asked only where no other is left. */
+  /** Time until which the leaf is called only if no other is available, in milliseconds. */
   readonly avoidUntilMs: number;
-  /** Whether it said that it is leaving or is not the leaf that was expected. */
+  /** Whether the leaf reported that it is shutting down or is not the expected leaf. */
   readonly terminated: boolean;
 }
 
-/** A leaf that has not been asked yet. */
+/** Health of a leaf that has not been called yet. */
 export const INITIAL_LEAF_HEALTH: LeafHealth = {
   meanMs: 0,
   workMs: 0,
@@ -63,79 +57,74 @@
   terminated: false,
 };
 
-/** First time that a failing leaf is avoided, in milliseconds; doubled with each further failure. */
-const AVOID_MS = 100;
+/** Initial time for which a failing leaf is avoided, in milliseconds; doubles with each further failure. */
+const INITIAL_AVOID_MS = 100;
 
-/**
- * Weight of one call in the share of lost ones: a single loss in between does not turn a box away from
- * a near leaf, two of three do.
- */
-const LOST_WEIGHT = 0.12;
+/** Weight of one call in the moving average of the failure rate. */
+const FAILURE_WEIGHT = 0.12;
 
-/** Age of the last loss at which the share counts for nothing, in milliseconds: the leaf may be well again. */
-const LOST_FADE_MS = 3_000;
+/** Time after the last failure at which the failure rate has decayed to 0, in milliseconds. */
+const FAILURE_DECAY_MS = 3_000;
 
-/** Longest time that a failing leaf is avoided, in milliseconds: it may have restarted by then. */
-const MOST_AVOID_MS = 2_000;
+/** Maximum time for which a failing leaf is avoided, in milliseconds. */
+const MAX_AVOID_MS = 2_000;
 
 /**
- * Notes a call that was sent.
+ * Records that a call was sent.
  *
- * @param condition - The condition so far.
- * @param call - Id of the call, and the moment by the clock that stands still while this box is busy.
- * @returns The condition after that.
+ * @param health - Health before the call.
+ * @param call - ID of the call and the current event-loop idle time, in milliseconds.
+ * @returns The updated health.
  */
 export function recordCallSent(
-  condition: LeafHealth,
+  health: LeafHealth,
   { callId, waitedMs }: { readonly callId: number; readonly waitedMs: number },
 ): LeafHealth {
   return {
-    ...condition,
-    openCalls: [...condition.openCalls, { callId, sentAtIdleMs: waitedMs }],
+    ...health,
+    openCalls: [...health.openCalls, { callId, sentAtIdleMs: waitedMs }],
   };
 }
 
-/** How a call ended, as far as the leaf's condition is concerned. */
+/** The end of a call. */
 export interface CallEnd {
   readonly callId: number;
   readonly nowMs: number;
-  /** The moment by the clock that stands still while this box is busy, in milliseconds. */
+  /** Current event-loop idle time, in milliseconds. */
   readonly eventLoopIdleMs: number;
   readonly result: "answered" | "failed" | "full" | "gone" | "abandoned";
-  /** Load that the leaf told with its answer. */
+  /** Load that the leaf reported with its answer. */
   readonly reportedLoad?: number | undefined;
-  /** Times as long as usual that work takes there, as it reported with its answer. */
+  /** Slowdown that the leaf reported with its answer; 1 is normal speed. */
   readonly slowdownFactor?: number | undefined;
-  /** Requests that the leaf runs at the same time; needed to make something of its load. */
+  /** Number of requests that the leaf runs concurrently; needed to interpret the reported load. */
   readonly slots?: number;
 }
 
 /**
- * Notes the end of a call.
+ * Records the end of a call.
  *
- * @param condition - The condition so far.
- * @param end - How the call ended.
- * @returns The condition after that.
+ * @param health - Health before the end of the call.
+ * @param end - The end of the call.
+ * @returns The updated health.
  */
-export function recordCallEnd(condition: LeafHealth, end: CallEnd): LeafHealth {
-  const call = condition.openCalls.find(({ callId }) => callId === end.callId);
+export function recordCallEnd(health: LeafHealth, end: CallEnd): LeafHealth {
+  const call = health.openCalls.find(({ callId }) => callId === end.callId);
   const tookMs = call === undefined ? 0 : end.eventLoopIdleMs - call.sentAtIdleMs;
-  const openCalls = condition.openCalls.filter(({ callId }) => callId !== end.callId);
-  const told =
+  const openCalls = health.openCalls.filter(({ callId }) => callId !== end.callId);
+  const loadReport =
     end.reportedLoad === undefined
       ? {}
       : { reportedLoad: end.reportedLoad, reportedAtMs: end.nowMs };
   const { slowdownFactor: factor, nowMs } = end;
   const slowdown =
-    factor === undefined
-      ? condition.slowdown
-      : recordSlowdown(condition.slowdown, { factor, nowMs });
-  const ended = { ...condition, openCalls, slowdown, ...told };
-  return END_HANDLERS[end.result](ended, end, tookMs / Math.max(1, factor ?? 1));
+    factor === undefined ? health.slowdown : recordSlowdown(health.slowdown, { factor, nowMs });
+  const updated = { ...health, openCalls, slowdown, ...loadReport };
+  return END_HANDLERS[end.result](updated, end, tookMs / Math.max(1, factor ?? 1));
 }
 
-/** A call that met a queue took that many turns of the leaf's slots. */
-function noteWork(workMs: number, { reportedLoad, slots }: CallEnd, tookMs: number): number {
+/** Updates the mean processing time. A queued call takes one turn for each full set of slots ahead of it. */
+function updateWorkMs(workMs: number, { reportedLoad, slots }: CallEnd, tookMs: number): number {
   if (reportedLoad === undefined || slots === undefined) {
     return workMs;
   }
@@ -143,50 +132,50 @@
   return updateMean(workMs, tookMs / turns);
 }
 
-function noteLoss(condition: LeafHealth, nowMs: number): LeafHealth {
-  const lostShare = condition.failureRate + LOST_WEIGHT * (1 - condition.failureRate);
-  return { ...condition, failureRate: lostShare, lastFailureAtMs: nowMs };
+function recordFailure(health: LeafHealth, nowMs: number): LeafHealth {
+  const failureRate = health.failureRate + FAILURE_WEIGHT * (1 - health.failureRate);
+  return { ...health, failureRate, lastFailureAtMs: nowMs };
 }
 
 /**
- * Tells which share of the calls to a leaf is to be expected to come to nothing.
+ * Estimates the current failure rate of calls to a leaf.
  *
- * @param condition - What was seen of the leaf.
- * @param nowMs - The present moment.
- * @returns The share, 0 to 1; fades while no call is lost, so that the leaf is tried again.
+ * @param health - Observed health of the leaf.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The failure rate, 0 to 1; decays while no call fails, so that the leaf is tried again.
  */
 export function expectedFailureRate(
-  { lastFailureAtMs: lostAtMs, failureRate: lostShare }: LeafHealth,
+  { lastFailureAtMs, failureRate }: LeafHealth,
   nowMs: number,
 ): number {
-  return lostShare * Math.max(0, 1 - (nowMs - lostAtMs) / LOST_FADE_MS);
+  return failureRate * Math.max(0, 1 - (nowMs - lastFailureAtMs) / FAILURE_DECAY_MS);
 }
 
-type EndHandler = (condition: LeafHealth, end: CallEnd, tookMs: number) => LeafHealth;
+type EndHandler = (health: LeafHealth, end: CallEnd, tookMs: number) => LeafHealth;
 
 const END_HANDLERS: Readonly<Record<CallEnd["result"], EndHandler>> = {
-  answered: (condition, end, tookMs) => ({
-    ...condition,
-    meanMs: updateMean(condition.meanMs, tookMs),
-    workMs: noteWork(condition.workMs, end, tookMs),
+  answered: (health, end, tookMs) => ({
+    ...health,
+    meanMs: updateMean(health.meanMs, tookMs),
+    workMs: updateWorkMs(health.workMs, end, tookMs),
     lastAnswerAtIdleMs: end.eventLoopIdleMs,
-    failureRate: condition.failureRate * (1 - LOST_WEIGHT),
+    failureRate: health.failureRate * (1 - FAILURE_WEIGHT),
     consecutiveFailures: 0,
     avoidUntilMs: 0,
   }),
-  failed: (condition, { nowMs }) => {
-    const failuresInRow = condition.consecutiveFailures + 1;
-    const avoidMs = Math.min(MOST_AVOID_MS, AVOID_MS * 2 ** (failuresInRow - 1));
+  failed: (health, { nowMs }) => {
+    const consecutiveFailures = health.consecutiveFailures + 1;
+    const avoidMs = Math.min(MAX_AVOID_MS, INITIAL_AVOID_MS * 2 ** (consecutiveFailures - 1));
     return {
-      ...noteLoss(condition, nowMs),
-      consecutiveFailures: failuresInRow,
+      ...recordFailure(health, nowMs),
+      consecutiveFailures,
       avoidUntilMs: nowMs + avoidMs,
     };
   },
-  full: (condition, { nowMs }) => ({
-    ...noteLoss(condition, nowMs),
-    avoidUntilMs: nowMs + AVOID_MS,
+  full: (health, { nowMs }) => ({
+    ...recordFailure(health, nowMs),
+    avoidUntilMs: nowMs + INITIAL_AVOID_MS,
   }),
-  gone: (condition) => ({ ...condition, terminated: true }),
-  abandoned: (condition) => condition,
+  gone: (health) => ({ ...health, terminated: true }),
+  abandoned: (health) => health,
 };
--- a/leafs/leaf_slowdown.ts
+++ b/leafs/leaf_slowdown.ts
@@ -1,71 +1,67 @@
 /**
- * How long work takes at a leaf at this moment, by what the leaf itself reports.
+ * Slowdown of a leaf as reported by the leaf itself.
  *
- * The load pattern: leafs share their machines with others. A few work four times as long for some 250 ms, many times a
- * minute; a sixth of all may work ten times as long for many seconds. By its own means a box has to wait for several
- * slow answers of each leaf before it turns to another; by the report it knows from the first one.
+ * Leafs share their machines with other processes and may slow down for a fraction of a second or for many seconds. The
+ * reports let a box react to the first slow answer, before its own latency statistics show the slowdown.
  *
  * @module
  */
 
-/** What a leaf has reported of its pace. */
+/** The last reported slowdown of a leaf. */
 export interface LeafSlowdown {
-  /** Times as long as usual that work takes there; 1 as usual. */
+  /** Factor on the normal processing time; 1 is normal speed. */
   readonly factor: number;
-  /** When it reported that. */
+  /** Time of the last report, in milliseconds. */
   readonly reportedAtMs: number;
-  /** Since when its reports have been like this one. */
+  /** Time since which all reports have been similar, in milliseconds. */
   readonly sinceMs: number;
 }
 
-/** A leaf that has reported nothing. */
+/** Slowdown of a leaf that has reported nothing. */
 export const NO_SLOWDOWN: LeafSlowdown = { factor: 1, reportedAtMs: 0, sinceMs: 0 };
 
-/** Two reports are alike where they differ by no more than this factor. */
-const ALIKE_FACTOR = 1.5;
+/** Two reports are similar if they differ by no more than this factor. */
+const SIMILAR_FACTOR = 1.5;
 
-/**
- * Shortest time for which a report is believed, in milliseconds: half of the time for which the short slow spells
- * last, as a report comes at a random moment of one.
- */
-const LEAST_BELIEVED_MS = 250;
+/** Minimum time for which a report is valid, in milliseconds. */
+const MIN_REPORT_TTL_MS = 250;
 
-/** Longest time for which a report is believed, in milliseconds, so that a leaf that is well again is tried. */
-const MOST_BELIEVED_MS = 2_000;
+/** Maximum time for which a report is valid, in milliseconds, so that a recovered leaf is tried again. */
+const MAX_REPORT_TTL_MS = 2_000;
 
-/** Greatest and least factor that is believed: a leaf that reports nonsense must not be lost or preferred for it. */
-const BELIEVED_FACTORS = { least: 0.2, most: 100 } as const;
+/** Range that reported factors are clamped to, so that an invalid report neither excludes nor favours a leaf. */
+const FACTOR_RANGE = { min: 0.2, max: 100 } as const;
 
 /**
- * Takes in a report.
+ * Records a slowdown report.
  *
- * @param pace - What was reported before.
- * @param report - Times as long as usual that work takes now, and the moment.
- * @returns The pace after that.
+ * @param slowdown - Slowdown before the report.
+ * @param report - Reported factor and the current time, in milliseconds.
+ * @returns The updated slowdown.
  */
 export function recordSlowdown(
-  pace: LeafSlowdown,
+  slowdown: LeafSlowdown,
   { factor, nowMs }: { readonly factor: number; readonly nowMs: number },
 ): LeafSlowdown {
-  const believed = Math.min(BELIEVED_FACTORS.most, Math.max(BELIEVED_FACTORS.least, factor));
-  const ratio = believed / pace.factor;
-  const isAlike = ratio <= ALIKE_FACTOR && ratio >= 1 / ALIKE_FACTOR;
-  return { factor: believed, reportedAtMs: nowMs, sinceMs: isAlike ? pace.sinceMs : nowMs };
+  const clamped = Math.min(FACTOR_RANGE.max, Math.max(FACTOR_RANGE.min, factor));
+  const ratio = clamped / slowdown.factor;
+  const isSimilar = ratio <= SIMILAR_FACTOR && ratio >= 1 / SIMILAR_FACTOR;
+  return { factor: clamped, reportedAtMs: nowMs, sinceMs: isSimilar ? slowdown.sinceMs : nowMs };
 }
 
 /**
- * Tells how many times as long as usual work is expected to take at a leaf. What has lasted for a while is expected to
- * last as long again; after that the leaf counts as usual, so that it is tried.
+ * Estimates the current slowdown of a leaf. A slowdown is expected to continue for as long as it has lasted so far; after
+ * that, normal speed is assumed so that the leaf is tried again.
  *
- * @param pace - What the leaf reported.
- * @param nowMs - The present moment.
- * @returns The factor; 1 as usual.
+ * @param slowdown - Last reported slowdown.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The factor; 1 is normal speed.
  */
 export function expectedSlowdown(
   { factor, reportedAtMs, sinceMs }: LeafSlowdown,
   nowMs: number,
 ): number {
   const lastedMs = reportedAtMs - sinceMs;
-  const believedMs = Math.min(MOST_BELIEVED_MS, Math.max(LEAST_BELIEVED_MS, lastedMs));
-  return nowMs - reportedAtMs < believedMs ? factor : 1;
+  const ttlMs = Math.min(MAX_REPORT_TTL_MS, Math.max(MIN_REPORT_TTL_MS, lastedMs));
+  return nowMs - reportedAtMs < ttlMs ? factor : 1;
 }
--- a/leafs/leaf_table.ts
+++ b/leafs/leaf_table.ts
@@ -1,55 +1,55 @@
 /**
- * The leafs that a box believes in, by id and by service.
+ * Table of known leafs, indexed by ID and by service.
  *
  * @module
  */
 import { eraOf } from "../model/mod.js";
 import { isSameIncarnation, type Leaf } from "./leaf.js";
 
-/** Leafs known, arranged for look-ups. */
+/** Known leafs, indexed for lookup. */
 export interface LeafTable {
   readonly byId: ReadonlyMap<string, Leaf>;
   readonly byService: ReadonlyMap<string, ReadonlyArray<Leaf>>;
-  /** Leafs whose entry is gone but may come back, and the moment at which they are dropped. */
+  /** Expiry times of leafs whose entry was deleted but may be restored, in milliseconds, by leaf ID. */
   readonly expiresAtMs: ReadonlyMap<string, number>;
-  /** The latest leafs whose entry went, as last known: an older store may tell of them again. */
+  /** Last known state of recently removed leafs; a store restored from a backup may list them again. */
   readonly recentlyRemoved?: ReadonlyMap<string, Leaf>;
 }
 
-/** Leafs that are remembered after their end: some minutes' worth of a rolling release. */
-const MOST_ENDED = 500;
+/** Maximum number of recently removed leafs that are kept. */
+const MAX_RECENTLY_REMOVED = 500;
 
-/** A table without leafs. */
+/** An empty table. */
 export const EMPTY_LEAF_TABLE: LeafTable = {
   byId: new Map(),
   byService: new Map(),
   expiresAtMs: new Map(),
 };
 
-/** What has changed among the leafs' entries. */
+/** Changes to leaf entries. */
 export interface LeafChanges {
-  /** Entries that are new or differ from before; one older than what is known is passed over. */
+  /** New or modified entries; entries older than the known ones are ignored. */
   readonly changed: ReadonlyArray<Leaf>;
-  /** Ids of entries that are gone. */
+  /** IDs of deleted entries. */
   readonly removed: ReadonlyArray<string>;
-  /** Ids of entries that are there but cannot be read: such a leaf is dropped without a time to come back. */
+  /** IDs of entries that exist but cannot be parsed; these leafs are dropped without a grace period. */
   readonly unreadable?: ReadonlyArray<string>;
 }
 
-/** How long entries that are gone are still believed in. */
+/** How removed entries are handled. */
 export interface RemovalOptions {
   readonly nowMs: number;
-  /** Time that an entry has to come back, in milliseconds; 0 drops it at once. */
+  /** Grace period for a deleted entry to be restored, in milliseconds; 0 drops the leaf immediately. */
   readonly graceMs: number;
 }
 
 /**
- * Takes in changes of entries.
+ * Applies changes to the table.
  *
- * @param table - Leafs known so far.
- * @param changes - What has changed.
- * @param options - The present moment, and how long a missing entry may come back.
- * @returns The table after that.
+ * @param table - The current table.
+ * @param changes - Changed, removed and unreadable entries.
+ * @param options - Current time and grace period, in milliseconds.
+ * @returns The updated table.
  */
 export function applyLeafChanges(
   table: LeafTable,
@@ -57,78 +57,80 @@
   { nowMs, graceMs }: RemovalOptions,
 ): LeafTable {
   const byId = new Map(table.byId);
-  const dropAtMs = new Map(table.expiresAtMs);
-  const ended = new Map(table.recentlyRemoved);
+  const expiresAtMs = new Map(table.expiresAtMs);
+  const recentlyRemoved = new Map(table.recentlyRemoved);
   for (const leaf of changed) {
     const known = byId.get(leaf.leafId);
-    if (isCurrent(leaf, known ?? ended.get(leaf.leafId), { hasEnded: known === undefined })) {
+    if (
+      isCurrent(leaf, known ?? recentlyRemoved.get(leaf.leafId), { isRemoved: known === undefined })
+    ) {
       byId.set(leaf.leafId, leaf);
-      dropAtMs.delete(leaf.leafId);
-      ended.delete(leaf.leafId);
+      expiresAtMs.delete(leaf.leafId);
+      recentlyRemoved.delete(leaf.leafId);
     }
   }
   for (const leafId of removed) {
     if (graceMs > 0 && byId.get(leafId)?.draining === false) {
-      dropAtMs.set(leafId, Math.min(dropAtMs.get(leafId) ?? Infinity, nowMs + graceMs));
+      expiresAtMs.set(leafId, Math.min(expiresAtMs.get(leafId) ?? Infinity, nowMs + graceMs));
     } else {
-      noteEnded(ended, byId.get(leafId));
+      addRecentlyRemoved(recentlyRemoved, byId.get(leafId));
       byId.delete(leafId);
-      dropAtMs.delete(leafId);
+      expiresAtMs.delete(leafId);
     }
   }
   for (const leafId of unreadable) {
     byId.delete(leafId);
-    dropAtMs.delete(leafId);
+    expiresAtMs.delete(leafId);
   }
-  return { byId, byService: groupByService(byId), expiresAtMs: dropAtMs, recentlyRemoved: ended };
+  return { byId, byService: groupByService(byId), expiresAtMs, recentlyRemoved };
 }
 
 /**
- * Tells whether an entry is not older than what is known. A store that comes back from a copy tells entries again
- * that their leafs have overwritten since, at positions that count as later; there the leaf's own count decides. Else a
- * leaf that had said it would end, or had ended, got work again.
+ * Returns whether an entry is at least as recent as the known one. A store restored from a backup lists overwritten entries
+ * at positions that count as later, so the leaf's own sequence number decides across eras. Otherwise a leaf that is
+ * draining or has terminated would receive calls again.
  */
 function isCurrent(
   entry: Leaf,
   known: Leaf | undefined,
-  { hasEnded }: { readonly hasEnded: boolean },
+  { isRemoved }: { readonly isRemoved: boolean },
 ): boolean {
   if (known === undefined) {
     return true;
   }
   const isOtherEra = eraOf(entry.entryRevision) !== eraOf(known.entryRevision);
   if (isOtherEra && isSameIncarnation(entry, known)) {
-    return hasEnded ? entry.sequence > known.sequence : entry.sequence >= known.sequence;
+    return isRemoved ? entry.sequence > known.sequence : entry.sequence >= known.sequence;
   }
-  return hasEnded || entry.entryRevision >= known.entryRevision;
+  return isRemoved || entry.entryRevision >= known.entryRevision;
 }
 
-/** Remembers a leaf whose entry is gone; the oldest is forgotten where there are too many. */
-function noteEnded(ended: Map<string, Leaf>, leaf: Leaf | undefined): void {
+/** Adds a leaf to the recently removed leafs and evicts the oldest one above the limit. */
+function addRecentlyRemoved(recentlyRemoved: Map<string, Leaf>, leaf: Leaf | undefined): void {
   if (leaf === undefined) {
     return;
   }
-  ended.delete(leaf.leafId);
-  ended.set(leaf.leafId, leaf);
-  const [oldest] = ended.keys();
-  if (ended.size > MOST_ENDED && oldest !== undefined) {
-    ended.delete(oldest);
+  recentlyRemoved.delete(leaf.leafId);
+  recentlyRemoved.set(leaf.leafId, leaf);
+  const [oldest] = recentlyRemoved.keys();
+  if (recentlyRemoved.size > MAX_RECENTLY_REMOVED && oldest !== undefined) {
+    recentlyRemoved.delete(oldest);
   }
 }
 
-/** How a whole list of entries is taken in. */
+/** How a complete list of entries is applied. */
 export interface LeafListOptions extends RemovalOptions {
-  /** Ids of entries of the list that cannot be read; none by default. */
+  /** IDs of listed entries that cannot be parsed; none by default. */
   readonly unreadable?: ReadonlyArray<string>;
 }
 
 /**
- * Takes in a whole list of entries: what it lacks is gone.
+ * Applies a complete list of entries. Leafs that are not listed are treated as removed.
  *
- * @param table - Leafs known so far.
- * @param listed - All entries that can be read.
- * @param options - The others, the present moment, and how long a missing entry may come back.
- * @returns The table after that.
+ * @param table - The current table.
+ * @param listed - All entries that can be parsed.
+ * @param options - IDs of unreadable entries, current time and grace period in milliseconds.
+ * @returns The updated table.
  */
 export function applyLeafList(
   table: LeafTable,
@@ -140,27 +142,27 @@
   return applyLeafChanges(table, { changed: listed, removed, unreadable }, removal);
 }
 
-/** Which leafs are dropped. */
+/** How expired leafs are dropped. */
 export interface ExpiryOptions {
   readonly nowMs: number;
   readonly mayDrop: (leafId: string) => boolean;
 }
 
 /**
- * Drops the leafs whose time to come back is up.
+ * Drops leafs whose grace period has ended.
  *
- * @param table - Leafs known so far.
- * @param options - The present moment, and which leafs may be dropped.
- * @returns The table after that; the same object where nothing was due.
+ * @param table - The current table.
+ * @param options - Current time in milliseconds, and a filter of the leafs that may be dropped.
+ * @returns The updated table; the same object if no leaf was dropped.
  */
 export function dropExpiredLeafs(table: LeafTable, { nowMs, mayDrop }: ExpiryOptions): LeafTable {
-  const due = [...table.expiresAtMs]
+  const expired = [...table.expiresAtMs]
     .filter(([leafId, atMs]) => atMs <= nowMs && mayDrop(leafId))
     .map(([leafId]) => leafId);
-  if (due.length === 0) {
+  if (expired.length === 0) {
     return table;
   }
-  return applyLeafChanges(table, { changed: [], removed: due }, { nowMs, graceMs: 0 });
+  return applyLeafChanges(table, { changed: [], removed: expired }, { nowMs, graceMs: 0 });
 }
 
 function groupByService(byId: ReadonlyMap<string, Leaf>): ReadonlyMap<string, ReadonlyArray<Leaf>> {
--- a/leafs/mod.ts
+++ b/leafs/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Leafs: which ones a box believes in, how they behave, and which is asked next.
+ * Leafs: the table of known leafs, their observed health, and the selection of the leaf to call.
  *
  * @module
  */
