--- a/quarantine/_published_records.ts
+++ b/quarantine/_published_records.ts
@@ -1,62 +1,65 @@
 /**
- * Picks which records other boxes are told of, and when at once.
+ * Selects the crash records that are published to other boxes, and decides which are published immediately.
  *
  * @module
  */
 import type { CrashRecord } from "./crash_record.js";
 
 /**
- * Losses from which on other boxes are told whatever became of the request: a single one is most often a leaf
- * that ended by itself, and another leaf answers in its place.
+ * Number of crashed leafs from which a record is published even if no request has failed. A single crash is usually
+ * unrelated to the query, and another leaf answers it.
  */
 export const MIN_PUBLISHED_CRASHES = 2;
 
-/** Share of the records told that are the latest changes. */
+/** Fraction of the published records reserved for the latest changes. */
 const LATEST_SHARE = 0.75;
 
 /**
- * Tells whether other boxes are to know of a record.
+ * Returns whether a record is published to other boxes.
  *
- * @param record - The record.
- * @returns Whether they are.
+ * @param record - The crash record.
+ * @returns Whether the record is published.
  */
 export function shouldPublish({ standing, hasFailed, lostLeafs }: CrashRecord): boolean {
   return standing !== "suspected" || hasFailed || lostLeafs >= MIN_PUBLISHED_CRASHES;
 }
 
 /**
- * Tells whether they are to know at once. Not of each further loss: a query over many shards loses dozens of
- * leafs within a tenth of a second.
+ * Returns whether a changed record is published immediately. Further crashes alone do not qualify, as a query over many
+ * shards can crash dozens of leafs at once.
  *
- * @param record - What is believed now.
- * @param before - What was believed, if anything.
- * @returns Whether they are.
+ * @param record - The record after the change.
+ * @param previous - The record before the change, if any.
+ * @returns Whether the record is published immediately.
  */
-export function shouldPublishNow(record: CrashRecord, before: CrashRecord | undefined): boolean {
-  if (before === undefined || !shouldPublish(before)) {
+export function shouldPublishNow(record: CrashRecord, previous: CrashRecord | undefined): boolean {
+  if (previous === undefined || !shouldPublish(previous)) {
     return shouldPublish(record);
   }
-  return record.standing !== before.standing || record.lostTrials !== before.lostTrials;
+  return record.standing !== previous.standing || record.lostTrials !== previous.lostTrials;
 }
 
 /**
- * Picks the records that go into one datagram.
+ * Selects the records for one datagram. If there are too many, most places go to the latest changes and the remaining
+ * ones to other records at random, so that each record is published eventually.
  *
- * @param all - Records that other boxes are to know, the latest change last.
- * @param most - Most records. Where there are more, the latest changes fill three quarters, the rest others
- *   by chance, so that each is told in the end.
- * @returns Those that go.
+ * @param all - All records to publish, the latest change last.
+ * @param maxCount - Maximum number of records.
+ * @returns The selected records.
  */
 export function selectForPublishing(
   all: ReadonlyArray<CrashRecord>,
-  most: number,
+  maxCount: number,
 ): ReadonlyArray<CrashRecord> {
-  if (all.length <= most) {
+  if (all.length <= maxCount) {
     return all;
   }
-  const latest = Math.ceil(most * LATEST_SHARE);
-  const others = all.slice(0, -latest);
-  const first = Math.floor(Math.random() * others.length);
-  const byChance = [...others.slice(first), ...others.slice(0, first)].slice(0, most - latest);
-  return [...all.slice(-latest), ...byChance];
+  const latestCount = Math.ceil(maxCount * LATEST_SHARE);
+  const others = all.slice(0, -latestCount);
+  const startIndex = Math.floor(Math.random() * others.length);
+  const sampled = [...others.slice(startIndex), ...others.slice(0, startIndex)].slice(
+    0,
+    maxCount - latestCount,
+  );
+  return [...all.slice(-latestCount), ...sampled];
 }
--- a/quarantine/crash_record.ts
+++ b/quarantine/crash_record.ts
@@ -1,126 +1,123 @@
 /**
- * What is believed of a query under which leafs were lost. Pure: moments come in.
+ * State of a crash-inducing query, as pure functions of the current time.
  *
- * A lost connection alone proves nothing against a query: leafs end for reasons of their own, and
- * each of the queries that they hold loses them. A query that ends leafs differs in that no leaf ever answers
- * it, also where it is sent to one at a time. Two such trials that are lost, with three leafs lost in all,
- * quarantine it; one answer clears it.
+ * A dropped connection is not sufficient evidence: leafs terminate for other reasons too, and then fail all queries that
+ * they are running. A crash-inducing query is never answered, even if it is sent to one leaf at a time. It is quarantined
+ * after two such trial calls crashed their leaf and three leafs crashed in total; one answer clears it.
  *
  * @module
  */
 
-/** What is believed of a query. */
+/** Status of a query. */
 export type CrashStatus = "suspected" | "quarantined" | "cleared";
 
-/** A query under which leafs were lost. */
+/** Record of a query that was running when leafs crashed. */
 export interface CrashRecord {
-  /** Tells the query from others. */
+  /** Identifies the query by its content. */
   readonly fingerprint: string;
   readonly standing: CrashStatus;
-  /** Leafs lost under it since it was last cleared. */
+  /** Number of leafs that crashed while running it since it was last cleared. */
   readonly lostLeafs: number;
-  /** Those of them that were asked alone, after the first loss. */
+  /** Number of those that crashed during a trial call. */
   readonly lostTrials: number;
-  /** Whether a request for it has ended without any answer of a leaf. */
+  /** Whether a request for the query has ended without an answer from any leaf. */
   readonly hasFailed: boolean;
-  /** Moment of the first loss, on this box's clock, in milliseconds. */
+  /** Time of the first crash by this box's clock, in milliseconds. */
   readonly suspectedAtMs: number;
-  /** Moment of what last changed the record, on this box's clock, in milliseconds. */
+  /** Time of the last change of the record by this box's clock, in milliseconds. */
   readonly changedAtMs: number;
 }
 
-/** Losses below which a query is not quarantined: a request to one leaf and its retry lose two by bad luck. */
+/** Minimum number of crashed leafs for quarantine; a request and its retry may hit two unrelated crashes. */
 export const MIN_CRASHED_LEAFS = 3;
 
-/**
- * Lost trials below which it is not quarantined: a leaf that another query ends takes all with it that it
- * holds, within some 300 ms, so that a single trial in that time says little.
- */
-const LEAST_LOST_TRIALS = 2;
+/** Minimum number of crashed trial calls for quarantine; a single one may be caused by another query on the same leaf. */
+const MIN_CRASHED_TRIALS = 2;
 
-/** Time after which a record that has not changed is dropped, by what is believed, in milliseconds. */
+/** Time after the last change at which a record is dropped, by status, in milliseconds. */
 export const RETENTION_MS: Readonly<Record<CrashStatus, number>> = {
   suspected: 600_000,
   quarantined: 86_400_000,
-  // Longer than news of the suspicion can be on its way.
+  // Must exceed the time that an update with an older status may be in transit.
   cleared: 60_000,
 };
 
-/** A leaf's connection that ended before its answer. */
+/** A leaf's connection that closed before the answer. */
 export interface LeafCrash {
   readonly fingerprint: string;
-  /** Whether it was asked alone, after the first loss. */
+  /** Whether the call was a trial: the only call of a suspected query in flight. */
   readonly isTrial: boolean;
   readonly nowMs: number;
 }
 
 /**
- * Notes a lost leaf.
+ * Records a crashed leaf.
  *
- * @param record - What was believed; nothing where no leaf was lost yet.
- * @param lost - The loss.
- * @returns What is believed now.
+ * @param record - The record before the crash, if any.
+ * @param crash - The crash.
+ * @returns The updated record.
  */
 export function recordLeafCrash(
   record: CrashRecord | undefined,
   { fingerprint, isTrial, nowMs }: LeafCrash,
 ): CrashRecord {
   if (record === undefined || record.standing === "cleared") {
-    const first = { lostLeafs: 1, lostTrials: 0, hasFailed: false };
-    const moments = { suspectedAtMs: nowMs, changedAtMs: nowMs };
-    return { fingerprint, standing: "suspected", ...first, ...moments };
+    const counts = { lostLeafs: 1, lostTrials: 0, hasFailed: false };
+    const times = { suspectedAtMs: nowMs, changedAtMs: nowMs };
+    return { fingerprint, standing: "suspected", ...counts, ...times };
   }
   const lostLeafs = record.lostLeafs + 1;
   const lostTrials = record.lostTrials + (isTrial ? 1 : 0);
-  const isProved = lostLeafs >= MIN_CRASHED_LEAFS && lostTrials >= LEAST_LOST_TRIALS;
-  const standing = isProved ? "quarantined" : record.standing;
+  const isConfirmed = lostLeafs >= MIN_CRASHED_LEAFS && lostTrials >= MIN_CRASHED_TRIALS;
+  const standing = isConfirmed ? "quarantined" : record.standing;
   return { ...record, standing, lostLeafs, lostTrials, changedAtMs: nowMs };
 }
 
 /**
- * Clears a query, as a leaf has answered it or an operator says so. The record is kept for a while, so that
- * a box which has not heard of it does not bring the suspicion back.
+ * Clears a query that a leaf has answered or that an operator has released. The record is retained for some time, so that
+ * an outdated report from another box does not restore the previous status.
  *
- * @param record - What was believed.
- * @param nowMs - The present moment.
- * @returns What is believed now.
+ * @param record - The record before the change.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The cleared record.
  */
 export function clearRecord(record: CrashRecord, nowMs: number): CrashRecord {
-  const nothing = { lostLeafs: 0, lostTrials: 0, hasFailed: false };
-  return { ...record, ...nothing, standing: "cleared", changedAtMs: nowMs };
+  const resetCounts = { lostLeafs: 0, lostTrials: 0, hasFailed: false };
+  return { ...record, ...resetCounts, standing: "cleared", changedAtMs: nowMs };
 }
 
-/** What another box, or the store, tells of a query; moments as ages, as clocks differ. */
+/** A crash record as exchanged with other boxes and the store. Times are sent as ages, since clocks differ. */
 export interface ReportedCrashes
   extends Pick<CrashRecord, "fingerprint" | "standing" | "lostLeafs" | "lostTrials"> {
-  /** Time since the first loss, in milliseconds. */
+  /** Time since the first crash, in milliseconds. */
   readonly suspectedAgoMs: number;
-  /** Time since its record last changed there, in milliseconds. */
+  /** Time since the sender's record last changed, in milliseconds. */
   readonly changedAgoMs: number;
 }
 
 /**
- * Writes a record as it is told to others.
+ * Converts a record to the form in which it is reported to other boxes.
  *
- * @param record - The record.
- * @param nowMs - The present moment.
- * @returns What is told.
+ * @param record - The crash record.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The reported form.
  */
 export function toReportedCrashes(
   { fingerprint, standing, lostLeafs, lostTrials, suspectedAtMs, changedAtMs }: CrashRecord,
   nowMs: number,
 ): ReportedCrashes {
-  const seen = { fingerprint, standing, lostLeafs, lostTrials };
-  return { ...seen, suspectedAgoMs: nowMs - suspectedAtMs, changedAgoMs: nowMs - changedAtMs };
+  const summary = { fingerprint, standing, lostLeafs, lostTrials };
+  return { ...summary, suspectedAgoMs: nowMs - suspectedAtMs, changedAgoMs: nowMs - changedAtMs };
 }
 
 /**
- * Takes in what was told. Of a suspicion and a clearing the later one holds; else the stronger belief does.
+ * Merges a reported record into this box's own. If either is cleared, the later change wins; otherwise the record with
+ * stronger evidence does.
  *
- * @param own - What this box believes, if anything.
- * @param told - What it is told.
- * @param nowMs - The present moment.
- * @returns What it believes now; its own record where nothing new was told.
+ * @param own - This box's record, if any.
+ * @param reported - The record reported by another box or the store.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The merged record; `own` itself if the report contains nothing new.
  */
 export function mergeReported(
   own: CrashRecord | undefined,
@@ -128,27 +125,27 @@
   nowMs: number,
 ): CrashRecord {
   const suspectedAtMs = nowMs - suspectedAgoMs;
-  // Only a query that has failed, or has lost several leafs, is told of.
-  const told = { ...rest, hasFailed: true, suspectedAtMs, changedAtMs: nowMs - changedAgoMs };
+  // Only queries that have failed or have crashed several leafs are reported.
+  const reported = { ...rest, hasFailed: true, suspectedAtMs, changedAtMs: nowMs - changedAgoMs };
   if (own === undefined) {
-    return told;
+    return reported;
   }
-  if (own.standing === "cleared" || told.standing === "cleared") {
-    const isNews = told.standing !== own.standing && told.changedAtMs > own.changedAtMs;
-    return isNews ? told : own;
+  if (own.standing === "cleared" || reported.standing === "cleared") {
+    const isNewer = reported.standing !== own.standing && reported.changedAtMs > own.changedAtMs;
+    return isNewer ? reported : own;
   }
-  const isStronger = told.standing === "quarantined" && own.standing !== "quarantined";
-  const hasMore = told.lostLeafs > own.lostLeafs || told.lostTrials > own.lostTrials;
+  const isStronger = reported.standing === "quarantined" && own.standing !== "quarantined";
+  const hasMore = reported.lostLeafs > own.lostLeafs || reported.lostTrials > own.lostTrials;
   if (!isStronger && !hasMore) {
     return own;
   }
   return {
     ...own,
     standing: isStronger ? "quarantined" : own.standing,
-    lostLeafs: Math.max(own.lostLeafs, told.lostLeafs),
-    lostTrials: Math.max(own.lostTrials, told.lostTrials),
+    lostLeafs: Math.max(own.lostLeafs, reported.lostLeafs),
+    lostTrials: Math.max(own.lostTrials, reported.lostTrials),
     hasFailed: true,
     suspectedAtMs: Math.min(own.suspectedAtMs, suspectedAtMs),
-    changedAtMs: Math.max(own.changedAtMs, told.changedAtMs),
+    changedAtMs: Math.max(own.changedAtMs, reported.changedAtMs),
   };
 }
--- a/quarantine/mod.ts
+++ b/quarantine/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Queries under which leafs end: how they are told from others, and what is done with them.
+ * Quarantine of crash-inducing queries: their identification, crash records and call restrictions.
  *
  * @module
  */
--- a/quarantine/quarantine.ts
+++ b/quarantine/quarantine.ts
@@ -1,10 +1,8 @@
 /**
- * Keeps queries that end leafs away from them.
+ * Quarantine of crash-inducing queries.
  *
- * The load pattern: one query ends each leaf that begins to run it, and comes again every few seconds, at any
- * box, under another id. Sent on as others are, it took all 40 leafs of an index four times in a row, and
- * every other query with them. From the first loss without an answer its calls go one at a time; two of those
- * lost, and no box sends it any more.
+ * A query that crashes every leaf running it, and that callers repeat, can take down an entire index. After the first
+ * crash without an answer, its calls are sent one at a time (trial calls); after two crashed trials, all boxes block it.
  *
  * @module
  */
@@ -26,90 +24,82 @@
 } from "./crash_record.js";
 import { RecentAnswers } from "./recent_answers.js";
 
-/** How a query's next call may go. */
+/** Whether and how the next call of a query may be sent. */
 export type CallPermission =
-  /** Like any other. */
+  /** Without restriction. */
   | "unrestricted"
-  /** As the only one of the query that this box sends until it has ended. */
+  /** As a trial: this box sends no other call of the query until it has ended. */
   | "exclusive"
-  /** Not yet: such a call is under way. */
+  /** Not yet, as a trial is in flight. */
   | "deferred"
-  /** Not at all for now. */
+  /** Not for now. */
   | "blocked";
 
 /**
- * Time after the first loss for which any box may try a suspect that has lost three leafs, in milliseconds. All
- * boxes know of it by then, and later trials, of which every box could make one, are left to one box. With
- * fewer losses any box may try it at any time: a lookup that lost its leaf would else be refused at six of
- * seven boxes when its caller asks again some seconds later.
+ * Time after the first crash during which any box may run trials of a query with at least `MIN_CRASHED_LEAFS` crashes, in
+ * milliseconds. All boxes know of the query by then, and a single box runs the later trials. Queries with fewer crashes
+ * may be tried by any box at any time, as their crashes are probably unrelated.
  */
-const TRIAL_ANYWHERE_MS = 1_500;
+const ANY_BOX_TRIAL_MS = 1_500;
 
-/** Time after which a trial counts as ended whatever became of it, in milliseconds; above any deadline. */
-const LONGEST_TRIAL_MS = 10_000;
+/** Time after which a trial is considered ended, in milliseconds; longer than usual deadlines. */
+const MAX_TRIAL_MS = 10_000;
 
-/**
- * Time for which a query is not sent at all, in milliseconds; after that one box may try it again. A leaf
- * of 40 that is lost for some seconds every ten minutes is borne; a query that has been mended waits no
- * longer.
- */
+/** Time for which a quarantined query is blocked, in milliseconds; after that, one box may try it again. */
 const QUARANTINE_MS = 600_000;
 
-/**
- * Most records kept; the oldest go first. Far above the few queries that ever end leafs, and some 100 bytes
- * each.
- */
-const MOST_RECORDS = 512;
+/** Maximum number of records; the oldest are evicted first. */
+const MAX_RECORDS = 512;
 
-/** When the caller of a suspect may come back, in milliseconds: a trial takes about a tenth of that. */
-const SUSPECT_RETRY_MS = 1_000;
+/** Time after which the caller of a suspected query may retry, in milliseconds. */
+const SUSPECTED_RETRY_MS = 1_000;
 
-/** A change of what is believed of a query. */
+/** A change of a crash record. */
 export interface QuarantineChange {
   readonly record: CrashRecord;
   readonly before: CrashRecord | undefined;
-  /** What changed it: what this box saw, or what it was told. */
+  /** Origin of the change: this box's own observation, or a report from another box or the store. */
   readonly source: "own" | "reported";
-  /** Whether other boxes are to know. */
+  /** Whether the record is to be published immediately. */
   readonly publishNow: boolean;
 }
 
-/** What the quarantine needs of its box. */
+/** Options of the quarantine. */
 export interface QuarantineOptions {
   readonly nowMs: () => number;
-  /** Tells whether this box is the one that may try a suspect later on. */
+  /** Returns whether this box is the one that runs later trials of a suspected query. */
   readonly isTrialBox: (fingerprint: string) => boolean;
-  /** Told after each change. */
+  /** Called after each change. */
   readonly onChange: (change: QuarantineChange) => void;
 }
 
-/** A leaf that was lost under a query. */
+/** A call whose leaf crashed. */
 export interface CrashedCall {
   readonly fingerprint: string;
   readonly isTrial: boolean;
 }
 
-/** The queries that end leafs, as one box knows them. */
+/** Tracks suspected and quarantined queries, and decides how their calls may be sent. */
 export class Quarantine {
   readonly #options: QuarantineOptions;
-  /** In the order of their last change. */
+  /** Records by fingerprint, in the order of their last change. */
   readonly #records = new Map<string, CrashRecord>();
-  readonly #answers = new RecentAnswers();
-  /** When the trial that is under way began, by query. */
-  readonly #trials = new Map<string, number>();
+  readonly #recentAnswers = new RecentAnswers();
+  /** Start times of the trials in flight, by fingerprint. */
+  readonly #trialStarts = new Map<string, number>();
 
   /**
-   * @param options - What the quarantine needs of its box.
+   * @param options - Options of the quarantine.
    */
   constructor(options: QuarantineOptions) {
     this.#options = options;
   }
 
   /**
-   * Tells how the next call of a query may go. To be asked right before each call.
+   * Returns whether and how the next call of a query may be sent. Must be checked right before each call.
    *
-   * @param fingerprint - The query.
-   * @returns How it may go.
+   * @param fingerprint - Fingerprint of the query.
+   * @returns The permission.
    */
   permission(fingerprint: string): CallPermission {
     const record = this.#records.get(fingerprint);
@@ -117,57 +107,59 @@
       return "unrestricted";
     }
     const nowMs = this.#options.nowMs();
-    if (isBarred(record, nowMs)) {
+    if (isBlocked(record, nowMs)) {
       return "blocked";
     }
-    if (this.#isTried(fingerprint, nowMs)) {
+    if (this.#isTrialInFlight(fingerprint, nowMs)) {
       return "deferred";
     }
-    const isYoung = nowMs - record.suspectedAtMs < TRIAL_ANYWHERE_MS;
-    const isWeak = record.lostLeafs < MIN_CRASHED_LEAFS;
-    return isYoung || isWeak || this.#options.isTrialBox(fingerprint) ? "exclusive" : "blocked";
+    const isRecent = nowMs - record.suspectedAtMs < ANY_BOX_TRIAL_MS;
+    const isBelowMinimum = record.lostLeafs < MIN_CRASHED_LEAFS;
+    return isRecent || isBelowMinimum || this.#options.isTrialBox(fingerprint)
+      ? "exclusive"
+      : "blocked";
   }
 
   /**
-   * Tells when a query that is held may come back.
+   * Returns when a blocked query may be retried.
    *
-   * @param fingerprint - The query.
+   * @param fingerprint - Fingerprint of the query.
    * @returns The time from now, in milliseconds.
    */
   retryAfterMs(fingerprint: string): number {
     const record = this.#records.get(fingerprint);
     const nowMs = this.#options.nowMs();
-    return record !== undefined && isBarred(record, nowMs)
+    return record !== undefined && isBlocked(record, nowMs)
       ? record.changedAtMs + QUARANTINE_MS - nowMs
-      : SUSPECT_RETRY_MS;
+      : SUSPECTED_RETRY_MS;
   }
 
   /**
-   * Claims the only call of a suspect that may be under way here.
+   * Starts a trial: the only call of a suspected query that may be in flight at this box.
    *
-   * @param fingerprint - The query.
+   * @param fingerprint - Fingerprint of the query.
    */
   beginTrial(fingerprint: string): void {
-    this.#trials.set(fingerprint, this.#options.nowMs());
+    this.#trialStarts.set(fingerprint, this.#options.nowMs());
   }
 
   /**
-   * Gives it back, as the call has ended.
+   * Ends the trial of a query.
    *
-   * @param fingerprint - The query.
+   * @param fingerprint - Fingerprint of the query.
    */
   endTrial(fingerprint: string): void {
-    this.#trials.delete(fingerprint);
+    this.#trialStarts.delete(fingerprint);
   }
 
   /**
-   * Notes that a leaf has run a query and answered, by which it is cleared.
+   * Records that a leaf answered a query, which clears the query.
    *
-   * @param fingerprint - The query.
+   * @param fingerprint - Fingerprint of the query.
    */
   recordAnswer(fingerprint: string): void {
     const nowMs = this.#options.nowMs();
-    this.#answers.add(fingerprint, nowMs);
+    this.#recentAnswers.add(fingerprint, nowMs);
     const record = this.#records.get(fingerprint);
     if (record === undefined || record.standing === "cleared") {
       return;
@@ -180,13 +172,13 @@
   }
 
   /**
-   * Notes that a leaf was lost under a query.
+   * Records that a leaf crashed while running a query.
    *
-   * @param lost - The query, and whether the leaf was asked alone.
+   * @param crash - The query, and whether the call was a trial.
    */
   recordCrash({ fingerprint, isTrial }: CrashedCall): void {
     const nowMs = this.#options.nowMs();
-    if (this.#answers.has(fingerprint, nowMs)) {
+    if (this.#recentAnswers.has(fingerprint, nowMs)) {
       return;
     }
     const record = this.#records.get(fingerprint);
@@ -194,10 +186,10 @@
   }
 
   /**
-   * Notes that a request has ended without any answer of a leaf. One that is sent to a single leaf loses no
-   * more than that, so other boxes would each lose one as well before they knew.
+   * Records that a request ended without an answer from any leaf. Publishes queries to a single leaf, which may never
+   * reach the minimum number of crashes at one box.
    *
-   * @param fingerprint - The query.
+   * @param fingerprint - Fingerprint of the query.
    */
   recordFailedRequest(fingerprint: string): void {
     const record = this.#records.get(fingerprint);
@@ -207,40 +199,40 @@
   }
 
   /**
-   * Takes in what another box, or the store, tells.
+   * Applies records reported by another box or the store.
    *
-   * @param told - Queries under which leafs were lost.
-   * @returns Whether any of it was new.
+   * @param reports - Reported crash records.
+   * @returns Whether any of them changed a record.
    */
-  applyReports(told: ReadonlyArray<ReportedCrashes>): boolean {
+  applyReports(reports: ReadonlyArray<ReportedCrashes>): boolean {
     const nowMs = this.#options.nowMs();
-    return told.filter((each) => this.#hearOne(each, nowMs)).length > 0;
+    return reports.filter((each) => this.#applyReport(each, nowMs)).length > 0;
   }
 
   /**
-   * Takes in that another box does not send a query; its news is still on the way.
+   * Marks a query as suspected because another box blocks it, before that box's report arrives.
    *
-   * @param fingerprint - The query.
+   * @param fingerprint - Fingerprint of the query.
    */
   applyRemoteBlock(fingerprint: string): void {
-    const seen = {
+    const evidence = {
       lostLeafs: MIN_PUBLISHED_CRASHES,
       lostTrials: 0,
       suspectedAgoMs: 0,
       changedAgoMs: 0,
     };
-    this.applyReports([{ fingerprint, standing: "suspected", ...seen }]);
+    this.applyReports([{ fingerprint, standing: "suspected", ...evidence }]);
   }
 
-  /** A query that was answered here of late is cleared: the other box could not know of it. */
-  #hearOne(told: ReportedCrashes, nowMs: number): boolean {
-    const own = this.#records.get(told.fingerprint);
-    const merged = mergeReported(own, told, nowMs);
-    const isKept = nowMs - merged.changedAtMs < RETENTION_MS[merged.standing];
-    if (merged === own || !isKept) {
+  /** Applies one report. A query that was recently answered here is cleared instead. */
+  #applyReport(report: ReportedCrashes, nowMs: number): boolean {
+    const own = this.#records.get(report.fingerprint);
+    const merged = mergeReported(own, report, nowMs);
+    const isRetained = nowMs - merged.changedAtMs < RETENTION_MS[merged.standing];
+    if (merged === own || !isRetained) {
       return false;
     }
-    const isAnswered = this.#answers.has(told.fingerprint, nowMs);
+    const isAnswered = this.#recentAnswers.has(report.fingerprint, nowMs);
     if (merged.standing !== "cleared" && isAnswered) {
       this.#set(clearRecord(merged, nowMs), "own");
     } else {
@@ -250,33 +242,33 @@
   }
 
   /**
-   * Lists what other boxes are to know.
+   * Selects the records to publish to other boxes. If there are too many, most places go to the latest changes and the
+   * remaining ones to other records at random, so that each record is published eventually.
    *
-   * @param most - Most records. Where there are more, the latest changes fill three quarters, the rest others
-   *   by chance, so that each is told in the end.
-   * @returns What they are told.
+   * @param maxCount - Maximum number of records.
+   * @returns The records to publish.
    */
-  selectReports(most: number): ReadonlyArray<ReportedCrashes> {
+  selectReports(maxCount: number): ReadonlyArray<ReportedCrashes> {
     if (this.#records.size === 0) {
       return [];
     }
-    this.#dropOld();
+    this.#dropExpired();
     const nowMs = this.#options.nowMs();
     const all = [...this.#records.values()].filter(shouldPublish);
-    return selectForPublishing(all, most).map((record) => toReportedCrashes(record, nowMs));
+    return selectForPublishing(all, maxCount).map((record) => toReportedCrashes(record, nowMs));
   }
 
-  /** What is believed of queries at this moment. */
+  /** Returns all current records. */
   records(): ReadonlyArray<CrashRecord> {
-    this.#dropOld();
+    this.#dropExpired();
     return [...this.#records.values()];
   }
 
   /**
-   * Clears a query by an operator's word.
+   * Clears a query on request of an operator.
    *
-   * @param fingerprint - The query.
-   * @returns Whether there was anything to clear.
+   * @param fingerprint - Fingerprint of the query.
+   * @returns Whether the query was suspected or quarantined.
    */
   clear(fingerprint: string): boolean {
     const record = this.#records.get(fingerprint);
@@ -287,18 +279,18 @@
     return true;
   }
 
-  #isTried(fingerprint: string, nowMs: number): boolean {
-    const beganAtMs = this.#trials.get(fingerprint);
-    return beganAtMs !== undefined && nowMs - beganAtMs < LONGEST_TRIAL_MS;
+  #isTrialInFlight(fingerprint: string, nowMs: number): boolean {
+    const startedAtMs = this.#trialStarts.get(fingerprint);
+    return startedAtMs !== undefined && nowMs - startedAtMs < MAX_TRIAL_MS;
   }
 
   #set(record: CrashRecord, source: QuarantineChange["source"]): void {
     const { fingerprint } = record;
     const before = this.#records.get(fingerprint);
-    // Anew, so that the map is in the order of changes.
+    // Reinserted to keep the map in the order of changes.
     this.#records.delete(fingerprint);
     this.#records.set(fingerprint, record);
-    this.#dropSurplus();
+    this.#evictExcess();
     this.#options.onChange({
       record,
       before,
@@ -307,7 +299,7 @@
     });
   }
 
-  #dropOld(): void {
+  #dropExpired(): void {
     const nowMs = this.#options.nowMs();
     for (const [fingerprint, { standing, changedAtMs }] of this.#records) {
       if (nowMs - changedAtMs >= RETENTION_MS[standing]) {
@@ -316,20 +308,20 @@
     }
   }
 
-  /** Suspects go before queries that are quarantined: what is proved is dearer to learn again. */
-  #dropSurplus(): void {
-    if (this.#records.size <= MOST_RECORDS) {
+  /** Evicts the oldest record above the limit; quarantined queries are evicted last. */
+  #evictExcess(): void {
+    if (this.#records.size <= MAX_RECORDS) {
       return;
     }
-    this.#dropOld();
+    this.#dropExpired();
     const all = [...this.#records.values()];
     const oldest = all.find(({ standing }) => standing !== "quarantined") ?? all[0];
-    if (this.#records.size > MOST_RECORDS && oldest !== undefined) {
+    if (this.#records.size > MAX_RECORDS && oldest !== undefined) {
       this.#records.delete(oldest.fingerprint);
     }
   }
 }
 
-function isBarred({ standing, changedAtMs }: CrashRecord, nowMs: number): boolean {
+function isBlocked({ standing, changedAtMs }: CrashRecord, nowMs: number): boolean {
   return standing === "quarantined" && nowMs - changedAtMs < QUARANTINE_MS;
 }
--- a/quarantine/recent_answers.ts
+++ b/quarantine/recent_answers.ts
@@ -1,51 +1,47 @@
 /**
- * Remembers which queries leafs have just answered, so that a leaf that is lost meanwhile is not held
- * against them.
+ * Tracks which queries leafs have recently answered, so that an unrelated crash is not attributed to them.
  *
  * @module
  */
 
-/**
- * Time for which an answer counts at least, in milliseconds: the parts of one query come in within a few
- * hundred, and a query that is asked for all the time is answered again within it.
- */
+/** Minimum time for which an answer is considered recent, in milliseconds. */
 const RECENT_MS = 1_000;
 
-/** Queries answered within the last one to two times that time. */
+/** Set of recently answered queries. Entries expire after one to two times `RECENT_MS`. */
 export class RecentAnswers {
   #current = new Set<string>();
-  #before = new Set<string>();
+  #previous = new Set<string>();
   #sinceMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Notes an answer.
+   * Adds an answered query.
    *
-   * @param fingerprint - The query.
-   * @param nowMs - The present moment.
+   * @param fingerprint - Fingerprint of the query.
+   * @param nowMs - Current time, in milliseconds.
    */
   add(fingerprint: string, nowMs: number): void {
-    this.#turn(nowMs);
+    this.#rotate(nowMs);
     this.#current.add(fingerprint);
   }
 
   /**
-   * Tells whether a query was answered of late.
+   * Returns whether a query was recently answered.
    *
-   * @param fingerprint - The query.
-   * @param nowMs - The present moment.
-   * @returns Whether it was.
+   * @param fingerprint - Fingerprint of the query.
+   * @param nowMs - Current time, in milliseconds.
+   * @returns Whether the query was recently answered.
    */
   has(fingerprint: string, nowMs: number): boolean {
-    this.#turn(nowMs);
-    return this.#current.has(fingerprint) || this.#before.has(fingerprint);
+    this.#rotate(nowMs);
+    return this.#current.has(fingerprint) || this.#previous.has(fingerprint);
   }
 
-  #turn(nowMs: number): void {
+  #rotate(nowMs: number): void {
     const ageMs = nowMs - this.#sinceMs;
     if (ageMs < RECENT_MS) {
       return;
     }
-    this.#before = ageMs < 2 * RECENT_MS ? this.#current : new Set();
+    this.#previous = ageMs < 2 * RECENT_MS ? this.#current : new Set();
     this.#current = new Set();
     this.#sinceMs = nowMs;
   }
--- a/quarantine/request_fingerprint.ts
+++ b/quarantine/request_fingerprint.ts
@@ -1,32 +1,31 @@
 /**
- * Tells requests that ask for the same thing: a repeat has an id of its own, and only its content shows that
- * it is one.
+ * Fingerprints that identify requests by content, since a repeated request has a new ID.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Characters of a fingerprint, 6 bits each: 96 bits, so that two requests never share one by chance. */
+/** Length of a fingerprint in characters of 6 bits each: 96 bits make collisions negligible. */
 const FINGERPRINT_CHARACTERS = 16;
 
-/** Stands between the parts, which cannot hold it. */
+/** Separates the hashed fields, which cannot contain it. */
 const SEPARATOR = "\n";
 
-/** What makes two requests the same. */
+/** The content that identifies a request. */
 export interface RequestContent {
   readonly method: string;
-  /** Who asks, as the host that the request is for. */
+  /** Host that the request is addressed to; identifies the caller. */
   readonly caller: string;
-  /** Path with its query. */
+  /** Path with query string. */
   readonly path: string;
   readonly body: Buffer | undefined;
 }
 
 /**
- * Works out the fingerprint of a request.
+ * Computes the fingerprint of a request.
  *
- * @param content - What the request asks for.
- * @returns The same text for the same content.
+ * @param content - Content of the request.
+ * @returns The fingerprint; equal for equal content.
  */
 export function requestFingerprint({ method, caller, path, body }: RequestContent): string {
   const hash = createHash("sha256").update([method, caller, path, ""].join(SEPARATOR));
--- a/quarantine/request_fingerprint_test.ts
+++ b/quarantine/request_fingerprint_test.ts
@@ -3,7 +3,7 @@
 
 const CONTENT = { method: "GET", caller: "h.example", path: "/a/?b=c", body: undefined };
 
-t.test("requestFingerprint() is the same for the same content", async (t) => {
+t.test("requestFingerprint() is equal for equal content", async (t) => {
   t.equal(requestFingerprint(CONTENT), requestFingerprint({ ...CONTENT }));
   t.match(requestFingerprint(CONTENT), /^[\w-]{16}$/);
 });
