--- a/admission/infeasible_query.ts
+++ b/admission/infeasible_query.ts
@@ -1,53 +1,49 @@
 /**
- * Tells a query whose least share is not to be expected, as too many of its calls will come to nothing and
- * the budgets of extra calls are spent. Refused at once it keeps what budget is left for queries that can be
- * answered; begun it works all leafs in vain and fails its caller after a while.
- *
- * Load pattern: most leafs refuse or lose more than half of their calls for some seconds. A shard then takes
- * one or two extra calls a query, twice what the budgets allow: shared out to all, next to no query reaches
- * its least share of 0.95 (0.1 of the worth); without half of them the others do.
+ * Detects infeasible queries: those that are not expected to reach their minimum coverage, because too many calls fail and
+ * the budgets for extra calls are exhausted. Refusing them immediately saves leaf capacity and leaves the remaining budget
+ * to queries that can succeed.
  *
  * @module
  */
 
-/** What is to be expected of one shard. */
+/** Expected behaviour of one shard. */
 export interface ShardExpectation {
-  /** Share of the calls to its leaf that come to nothing, 0 to 1. */
+  /** Failure rate of calls to the selected leaf, 0 to 1. */
   readonly failureRate: number;
-  /** Extra calls that its budget allows now. */
+  /** Extra calls that the shard's budget currently allows. */
   readonly extraCallsLeft: number;
 }
 
-/** Why a query was not begun: too few of its parts were to be expected. */
+/** Details of an infeasible query. A part is the result of one shard. */
 export interface PartsShortfall {
-  /** Parts to be expected, one standard deviation added. */
+  /** Expected number of parts plus one standard deviation. */
   readonly expectedParts: number;
-  /** Parts without which there is no answer. */
+  /** Minimum number of parts for an answer. */
   readonly leastParts: number;
 }
 
-/** Extra calls that a shard of one query makes at most before its answer is late. */
-const MOST_EXTRA = 3;
+/** Maximum number of extra calls per shard that still finish in time. */
+const MAX_EXTRA_CALLS = 3;
 
 /**
- * Tells whether a query had better not be begun: even with one standard deviation more parts than expected it
- * would lack its least share.
+ * Returns the shortfall of a query that would not reach its minimum number of parts even with one standard deviation more
+ * parts than expected.
  *
- * @param chances - What is to be expected of each shard that is asked.
- * @param leastParts - Parts without which there is no answer.
- * @returns The shortfall; nothing where the query has a chance.
+ * @param shards - Expected behaviour of each shard of the query.
+ * @param leastParts - Minimum number of parts for an answer.
+ * @returns The shortfall, or `undefined` if the query is feasible.
  */
 export function findShortfall(
-  chances: ReadonlyArray<ShardExpectation>,
+  shards: ReadonlyArray<ShardExpectation>,
   leastParts: number,
 ): PartsShortfall | undefined {
   let mean = 0;
   let variance = 0;
-  for (const { extraCallsLeft, failureRate: lossShare } of chances) {
-    const calls = 1 + Math.min(MOST_EXTRA, Math.max(0, Math.floor(extraCallsLeft)));
-    const chance = 1 - lossShare ** calls;
-    mean += chance;
-    variance += chance * (1 - chance);
+  for (const { extraCallsLeft, failureRate } of shards) {
+    const calls = 1 + Math.min(MAX_EXTRA_CALLS, Math.max(0, Math.floor(extraCallsLeft)));
+    const successRate = 1 - failureRate ** calls;
+    mean += successRate;
+    variance += successRate * (1 - successRate);
   }
   const expectedParts = mean + Math.sqrt(variance);
   return expectedParts < leastParts ? { expectedParts, leastParts } : undefined;
--- a/admission/mod.ts
+++ b/admission/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Admission: whether a request is begun at all, and when a refused caller may come back.
+ * Admission control: whether a request is accepted, and when a refused caller may retry.
  *
  * @module
  */
--- a/admission/persistent_queue.ts
+++ b/admission/persistent_queue.ts
@@ -1,46 +1,43 @@
 /**
- * Tells a queue that stands from one that a few queries make when they meet.
- *
- * Load pattern: at a quarter to half of what leafs carry, two or three queries that come within some
- * 30 ms wait for one another and the leafs are idle again after that; under a burst the wait is there
- * at each look. Refusing for the first kind turned away 5 to 10% of urgent queries on calm seconds.
+ * Distinguishes persistent queues from transient ones. A few queries that arrive together cause a short queue at normal
+ * load, for which no request should be refused; under overload every sample finds a queue.
  *
  * @module
  */
 
-/** Looks in a row that must all have found a wait; a box looks with each query that it plans. */
-const LOOKS = 3;
+/** Number of consecutive samples that must find a queue; one sample is taken per planned query. */
+const SAMPLE_COUNT = 3;
 
-/** Age at which a look counts no more, in milliseconds. */
-const LOOK_MS = 1_000;
+/** Age at which a sample is discarded, in milliseconds. */
+const SAMPLE_TTL_MS = 1_000;
 
-/** One look at the queues. */
-interface Look {
+/** One sample of the queueing delay. */
+interface QueueSample {
   readonly queueMs: number;
   readonly atMs: number;
 }
 
-/** The latest looks at the queues of one index, the latest last. */
-export type QueueSamples = ReadonlyArray<Look>;
+/** The most recent samples of the queueing delay of one index, the latest last. */
+export type QueueSamples = ReadonlyArray<QueueSample>;
 
 /**
- * Notes a look.
+ * Adds a sample.
  *
- * @param looks - The looks so far.
- * @param look - The wait that was found, in milliseconds, and the moment.
- * @returns The looks that still count.
+ * @param samples - The previous samples.
+ * @param sample - Queueing delay and time of the sample, in milliseconds.
+ * @returns The samples that are still valid.
  */
-export function addQueueSample(looks: QueueSamples, look: Look): QueueSamples {
-  const recent = looks.filter(({ atMs }) => look.atMs - atMs < LOOK_MS);
-  return [...recent.slice(1 - LOOKS), look];
+export function addQueueSample(samples: QueueSamples, sample: QueueSample): QueueSamples {
+  const recent = samples.filter(({ atMs }) => sample.atMs - atMs < SAMPLE_TTL_MS);
+  return [...recent.slice(1 - SAMPLE_COUNT), sample];
 }
 
 /**
- * Tells the wait that all latest looks have found.
+ * Returns the persistent queueing delay: the minimum of the latest samples.
  *
- * @param looks - The looks.
- * @returns The time in milliseconds; 0 while there are too few looks to tell.
+ * @param samples - The samples.
+ * @returns The delay in milliseconds; 0 if there are too few samples.
  */
-export function persistentQueueMs(looks: QueueSamples): number {
-  return looks.length < LOOKS ? 0 : Math.min(...looks.map(({ queueMs }) => queueMs));
+export function persistentQueueMs(samples: QueueSamples): number {
+  return samples.length < SAMPLE_COUNT ? 0 : Math.min(...samples.map(({ queueMs }) => queueMs));
 }
--- a/admission/persistent_queue_test.ts
+++ b/admission/persistent_queue_test.ts
@@ -1,21 +1,21 @@
 import t from "tap";
 import { addQueueSample, persistentQueueMs, type QueueSamples } from "./persistent_queue.js";
 
-function looksOf(queuesMs: ReadonlyArray<number>, everyMs = 100): QueueSamples {
-  return queuesMs.reduce<QueueSamples>((looks, queueMs, index) => {
-    return addQueueSample(looks, { queueMs, atMs: index * everyMs });
+function samplesOf(queuesMs: ReadonlyArray<number>, intervalMs = 100): QueueSamples {
+  return queuesMs.reduce<QueueSamples>((samples, queueMs, index) => {
+    return addQueueSample(samples, { queueMs, atMs: index * intervalMs });
   }, []);
 }
 
-t.test("standingQueueMs() passes over a wait that comes and goes", async (t) => {
-  t.equal(persistentQueueMs(looksOf([0, 40, 0, 40])), 0);
-  t.equal(persistentQueueMs(looksOf([40])), 0, "one look tells nothing");
+t.test("persistentQueueMs() ignores a transient queue", async (t) => {
+  t.equal(persistentQueueMs(samplesOf([0, 40, 0, 40])), 0);
+  t.equal(persistentQueueMs(samplesOf([40])), 0, "too few samples");
 });
 
-t.test("standingQueueMs() tells the wait that is there at each look", async (t) => {
-  t.equal(persistentQueueMs(looksOf([0, 30, 50, 40])), 30);
+t.test("persistentQueueMs() returns the minimum of the latest samples", async (t) => {
+  t.equal(persistentQueueMs(samplesOf([0, 30, 50, 40])), 30);
 });
 
-t.test("standingQueueMs() forgets looks of long ago", async (t) => {
-  t.equal(persistentQueueMs(looksOf([40, 40, 40], 2_000)), 0);
+t.test("persistentQueueMs() discards old samples", async (t) => {
+  t.equal(persistentQueueMs(samplesOf([40, 40, 40], 2_000)), 0);
 });
--- a/admission/queue_allowance.ts
+++ b/admission/queue_allowance.ts
@@ -1,42 +1,39 @@
 /**
- * Works out how long calls of each route may wait at leafs before new requests are refused, so that
- * under overload what is begun is answered in time and less urgent requests give way first.
+ * Maximum queueing delay for each route, above which new requests are refused. Under overload, accepted requests are then
+ * answered in time and less urgent requests are refused first.
  *
  * @module
  */
-/** A route whose requests go to all shards of an index, as far as waiting at leafs is concerned. */
+
+/** A route whose requests go to all shards of an index. */
 export interface QueuedRoute {
   readonly name: string;
-  /** Time within which an answer is worth most, in milliseconds. */
+  /** Latency objective, in milliseconds. */
   readonly aimMs: number;
-  /** Urgency; 0 is the most urgent. */
+  /** Priority rank; 0 is the most urgent. */
   readonly priorityRank: number;
-  /** Services that are the shards. */
+  /** Services that serve the shards. */
   readonly shards: ReadonlyArray<string>;
 }
 
-/**
- * Share of the aim that calls may wait at leafs. The rest is for the work itself, of which a query over
- * many shards meets the slowest, and for the way. Under bursts of three and six times the load 0.578 of
- * the worth is served in time with 0.15 and 0.514 with 0.35 (34 s of one seed, without processor time).
- */
-const QUEUE_AIM_SHARE = 0.15;
+/** Fraction of the latency objective that may be spent in queues; the remainder is for processing and the network. */
+const QUEUE_OBJECTIVE_SHARE = 0.15;
 
-/** Share of a more urgent route's allowance that a route may use, for each rank that it is behind. */
+/** Fraction of a more urgent route's allowance that a route may use, per rank of difference. */
 const LESS_URGENT_SHARE = 0.7;
 
 /**
- * Works out the allowances of routes that gather; those to a single leaf have none, as their late
- * answers are worth the wait.
+ * Computes the queue allowances of routes that query all shards. Routes to a single leaf have none, as their late answers
+ * are still useful.
  *
- * @param routes - The routes that gather.
- * @returns The allowance of each route by its name, in milliseconds.
+ * @param routes - The routes that query all shards.
+ * @returns Queue allowances by route name, in milliseconds.
  */
 export function queueAllowancesMs(routes: ReadonlyArray<QueuedRoute>): ReadonlyMap<string, number> {
-  const aims = shortestAims(routes);
+  const objectives = shortestObjectives(routes);
   const allowances = new Map<string, number>();
   for (const route of routes) {
-    const byRank = aims.get(indexOf(route) ?? "");
+    const byRank = objectives.get(indexOf(route) ?? "");
     if (byRank !== undefined) {
       allowances.set(route.name, allowanceMs(route, byRank));
     }
@@ -44,34 +41,39 @@
   return allowances;
 }
 
-/** Shortest aim of the routes of each rank, in milliseconds. */
-type AimsByRank = ReadonlyMap<number, number>;
+/** Shortest latency objective of the routes of each priority rank, in milliseconds. */
+type ObjectivesByRank = ReadonlyMap<number, number>;
 
-/** Routes over the same index name the same shards; the first tells. */
+/** Identifies an index by its first shard, as routes over the same index list the same shards. */
 function indexOf({ shards }: QueuedRoute): string | undefined {
   return shards[0];
 }
 
-function shortestAims(routes: ReadonlyArray<QueuedRoute>): ReadonlyMap<string, AimsByRank> {
-  const aims = new Map<string, Map<number, number>>();
+function shortestObjectives(
+  routes: ReadonlyArray<QueuedRoute>,
+): ReadonlyMap<string, ObjectivesByRank> {
+  const objectives = new Map<string, Map<number, number>>();
   for (const route of routes) {
     const index = indexOf(route);
     if (index !== undefined) {
-      const byRank = aims.get(index) ?? new Map<number, number>();
+      const byRank = objectives.get(index) ?? new Map<number, number>();
       const shortest = byRank.get(route.priorityRank) ?? Number.POSITIVE_INFINITY;
       byRank.set(route.priorityRank, Math.min(shortest, route.aimMs));
-      aims.set(index, byRank);
+      objectives.set(index, byRank);
     }
   }
-  return aims;
+  return objectives;
 }
 
-function allowanceMs({ aimMs, priorityRank }: QueuedRoute, byRank: AimsByRank): number {
+function allowanceMs({ aimMs, priorityRank }: QueuedRoute, byRank: ObjectivesByRank): number {
   let shortestMs = aimMs;
-  for (const [rank, otherAimMs] of byRank) {
+  for (const [rank, otherObjectiveMs] of byRank) {
     if (rank < priorityRank) {
-      shortestMs = Math.min(shortestMs, otherAimMs * LESS_URGENT_SHARE ** (priorityRank - rank));
+      shortestMs = Math.min(
+        shortestMs,
+        otherObjectiveMs * LESS_URGENT_SHARE ** (priorityRank - rank),
+      );
     }
   }
-  return shortestMs * QUEUE_AIM_SHARE;
+  return shortestMs * QUEUE_OBJECTIVE_SHARE;
 }
