--- a/policy/_check_names.ts
+++ b/policy/_check_names.ts
@@ -1,12 +1,12 @@
 /**
- * Finds names in a parsed expression that no policy program is given.
+ * Finds references to undefined names in a parsed policy program.
  *
  * @module
  */
 import { SAMPLE_INPUT } from "./policy_input.js";
 
-/** A name that is not there, and the id of the expression that uses it. */
-export interface UnknownName {
+/** An undefined name, and the ID of the expression that uses it. */
+export interface UndefinedName {
   readonly name: string;
   readonly exprId: string;
 }
@@ -20,16 +20,16 @@
 }
 
 /**
- * Looks for the first unknown name, in every branch of the expression.
+ * Finds the first undefined name in any branch of an expression.
  *
  * @param expr - The parsed expression.
- * @param locals - Names that macros around it bind.
- * @returns The name, or nothing where all are known.
+ * @param locals - Variables bound by enclosing macros.
+ * @returns The name, or `undefined` if all names are defined.
  */
-export function findUnknownName(
+export function findUndefinedName(
   expr: unknown,
   locals: ReadonlySet<string> = new Set(),
-): UnknownName | undefined {
+): UndefinedName | undefined {
   const { id, exprKind } = expr as Node;
   const value = exprKind?.value;
   if (value === undefined) {
@@ -41,15 +41,15 @@
     return locals.has(name) || Object.hasOwn(SAMPLE_INPUT, name) ? undefined : { name, exprId };
   }
   if (exprKind?.case === "selectExpr") {
-    return unknownField(value, exprId) ?? findUnknownName(value.operand, locals);
+    return undefinedField(value, exprId) ?? findUndefinedName(value.operand, locals);
   }
-  return findInParts(value, boundBy(value, locals));
+  return findInChildren(value, withBoundNames(value, locals));
 }
 
-function unknownField(
+function undefinedField(
   { operand, field }: Readonly<Record<string, unknown>>,
   exprId: string,
-): UnknownName | undefined {
+): UndefinedName | undefined {
   const kind = (operand as Node | undefined)?.exprKind;
   const root = kind?.case === "identExpr" ? String(kind.value?.name) : "";
   const known = (SAMPLE_INPUT as unknown as Readonly<Record<string, object>>)[root];
@@ -59,7 +59,7 @@
     : { name: `${root}.${name}`, exprId };
 }
 
-function boundBy(
+function withBoundNames(
   { iterVar, iterVar2, accuVar }: Readonly<Record<string, unknown>>,
   locals: ReadonlySet<string>,
 ): ReadonlySet<string> {
@@ -67,13 +67,13 @@
   return bound.length === 0 ? locals : new Set([...locals, ...bound]);
 }
 
-function findInParts(
+function findInChildren(
   value: Readonly<Record<string, unknown>>,
   locals: ReadonlySet<string>,
-): UnknownName | undefined {
-  for (const part of Object.values(value).flat()) {
-    if (typeof part === "object" && part !== null) {
-      const found = findUnknownName(part, locals) ?? findUnknownEntry(part, locals);
+): UndefinedName | undefined {
+  for (const child of Object.values(value).flat()) {
+    if (typeof child === "object" && child !== null) {
+      const found = findUndefinedName(child, locals) ?? findInEntry(child, locals);
       if (found !== undefined) {
         return found;
       }
@@ -82,12 +82,16 @@
   return undefined;
 }
 
-/** Entries of maps and messages hold their expressions one level down. */
-function findUnknownEntry(part: object, locals: ReadonlySet<string>): UnknownName | undefined {
-  const { value, keyKind } = part as {
+/** Checks an entry of a map or message, whose expressions are nested one level deeper. */
+function findInEntry(entry: object, locals: ReadonlySet<string>): UndefinedName | undefined {
+  const { value, keyKind } = entry as {
     readonly value?: unknown;
     readonly keyKind?: { readonly value?: unknown };
   };
-  const parts = [value, keyKind?.value].filter((each) => typeof each === "object" && each !== null);
-  return parts.map((each) => findUnknownName(each, locals)).find((found) => found !== undefined);
+  const children = [value, keyKind?.value].filter(
+    (each) => typeof each === "object" && each !== null,
+  );
+  return children
+    .map((each) => findUndefinedName(each, locals))
+    .find((found) => found !== undefined);
 }
--- a/policy/compile_policy.ts
+++ b/policy/compile_policy.ts
@@ -1,40 +1,40 @@
 /**
- * Turns policy source text into programs, and finds faults with their position.
+ * Compiles policy source text into programs and reports errors with their position.
  *
  * @module
  */
 import { celEnv, isCelError, parse, plan } from "@bufbuild/cel";
 import { err, ok, type Result } from "neverthrow";
 import type { PolicyKind, PolicySources } from "../model/mod.js";
-import { findUnknownName } from "./_check_names.js";
+import { findUndefinedName } from "./_check_names.js";
 import { type PolicyInput, SAMPLE_INPUT } from "./policy_input.js";
 
-/** Why a policy program is not accepted. */
+/** A compilation error. */
 export interface PolicyError {
   readonly kind: "policy";
-  /** Decision that the program is for. */
+  /** The decision that the program makes. */
   readonly policy: PolicyKind;
-  /** Line of the fault, from 1; 0 where it has none. */
+  /** Line of the error, starting at 1; 0 if unknown. */
   readonly line: number;
-  /** Column of the fault, from 1; 0 where it has none. */
+  /** Column of the error, starting at 1; 0 if unknown. */
   readonly column: number;
-  /** One sentence for a person. */
+  /** Human-readable description of the error. */
   readonly message: string;
 }
 
-/** What a program returns once it ran: a value, or the sentence that says why not. */
+/** Result of a program: a value or an error message. */
 export type ProgramResult = Result<unknown, string>;
 
-/** A program ready to run. */
+/** A compiled program. */
 export type Program = (input: PolicyInput) => ProgramResult;
 
-/** A service's programs by decision. */
+/** The compiled programs of a service, by decision. */
 export type Programs = { readonly [K in PolicyKind]?: Program };
 
-/** Ways to place a service's calls. */
+/** Placement strategies. */
 export const PLACEMENTS = ["least-loaded", "nearest", "spread"] as const;
 
-/** A way to place calls. */
+/** A placement strategy. */
 export type Placement = (typeof PLACEMENTS)[number];
 
 interface ResultConstraint {
@@ -42,7 +42,7 @@
   readonly expected: string;
 }
 
-/** What each decision's program must return. */
+/** Constraints on the result of each decision's program. */
 export const RESULT_CONSTRAINTS: Readonly<Record<PolicyKind, ResultConstraint>> = {
   place: {
     accepts: (value) => PLACEMENTS.some((placement) => placement === value),
@@ -67,10 +67,10 @@
 };
 
 /**
- * Compiles all programs of a service and tries each on a sample request.
+ * Compiles all programs of a service and runs each on a sample request.
  *
- * @param sources - Programs as text.
- * @returns The programs, or the first fault with its position.
+ * @param sources - CEL source text of the programs.
+ * @returns The programs, or the first error with its position.
  */
 export function compilePolicies(sources: PolicySources): Result<Programs, PolicyError> {
   let programs: Programs = {};
@@ -89,21 +89,21 @@
 }
 
 /**
- * Compiles one program and tries it on a sample request.
+ * Compiles one program and runs it on a sample request.
  *
- * @param policy - Decision that the program is for.
- * @param source - CEL text.
- * @returns The program, or its fault with the position.
+ * @param policy - The decision that the program makes.
+ * @param source - CEL source text.
+ * @returns The program, or an error with its position.
  */
 export function compilePolicy(policy: PolicyKind, source: string): Result<Program, PolicyError> {
   try {
     const parsed = parse(source);
     const positions = parsed.sourceInfo?.positions ?? {};
-    const unknown = findUnknownName(parsed.expr);
-    if (unknown !== undefined) {
-      const place = positionAt(source, positions[unknown.exprId] ?? -1);
-      const message = `Cannot accept policy "${policy}": unknown name "${unknown.name}"`;
-      return err({ kind: "policy", policy, ...place, message });
+    const undefinedName = findUndefinedName(parsed.expr);
+    if (undefinedName !== undefined) {
+      const position = positionAt(source, positions[undefinedName.exprId] ?? -1);
+      const message = `Cannot accept policy "${policy}": unknown name "${undefinedName.name}"`;
+      return err({ kind: "policy", policy, ...position, message });
     }
     const evaluate = plan(celEnv(), parsed);
     const program: Program = (input) => run(evaluate, input);
@@ -117,9 +117,9 @@
         message: sample.message,
       });
     }
-    const { accepts, expected: wanted } = RESULT_CONSTRAINTS[policy];
+    const { accepts, expected } = RESULT_CONSTRAINTS[policy];
     if (!accepts(plainValue(sample))) {
-      const message = `Cannot accept the result of "${policy}": expected ${wanted}`;
+      const message = `Cannot accept the result of "${policy}": expected ${expected}`;
       return err({ kind: "policy", policy, line: 1, column: 1, message });
     }
     return ok(program);
@@ -141,17 +141,17 @@
   return typeof value === "bigint" ? Number(value) : value;
 }
 
-function isNumberBetween(value: unknown, least: number, most: number): boolean {
-  return typeof value === "number" && value >= least && value <= most;
+function isNumberBetween(value: unknown, min: number, max: number): boolean {
+  return typeof value === "number" && value >= min && value <= max;
 }
 
-interface Located {
+interface LocatedError {
   readonly location?: { readonly start?: { readonly line: number; readonly column: number } };
   readonly rawMessage?: string;
 }
 
 function syntaxError(policy: PolicyKind, error: unknown): PolicyError {
-  const located = error as Located;
+  const located = error as LocatedError;
   const start = located.location?.start;
   const message = located.rawMessage ?? (error instanceof Error ? error.message : "not valid");
   return {
@@ -163,14 +163,14 @@
   };
 }
 
-interface Traced {
+interface ExpressionError {
   readonly exprId?: bigint;
   readonly cause?: unknown;
 }
 
-function firstOffset(error: Traced, positions: Readonly<Record<string, number>>): number {
+function firstOffset(error: ExpressionError, positions: Readonly<Record<string, number>>): number {
   const causes = Array.isArray(error.cause) ? error.cause : [];
-  const inner = causes.length > 0 ? firstOffset(causes[0] as Traced, positions) : -1;
+  const inner = causes.length > 0 ? firstOffset(causes[0] as ExpressionError, positions) : -1;
   return inner >= 0 ? inner : (positions[String(error.exprId)] ?? -1);
 }
 
--- a/policy/evaluate_policy.ts
+++ b/policy/evaluate_policy.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a service's programs for one request and falls back to safe values.
+ * Evaluates a service's policy programs for one request, with safe defaults.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import { type Placement, type Programs, RESULT_CONSTRAINTS } from "./compile_policy.js";
 import type { PolicyInput } from "./policy_input.js";
 
-/** What the programs decided for a request. */
+/** The decisions for a request. */
 export interface PolicyDecision {
   readonly placement: Placement;
-  /** Requests a second that this caller may send; 0 means no limit. */
+  /** Rate limit of this caller, in requests per second; 0 means no limit. */
   readonly callerRequestsPerSecond: number;
-  /** Retries for each shard. */
+  /** Maximum number of retries per shard. */
   readonly retries: number;
-  /** Why the request is refused; empty when it is not. */
+  /** Reason for refusing the request; empty if it is accepted. */
   readonly refusal: string;
-  /** Coverage, 0 to 1, at which the answer is given without waiting for more. */
+  /** Coverage, 0 to 1, at which the answer is returned without waiting for more shards. */
   readonly finishCoverage: number;
-  /** Programs that failed, with the reason; their defaults were used. */
+  /** Programs that failed, for which the defaults were used. */
   readonly failures: ReadonlyArray<{ readonly policy: PolicyKind; readonly message: string }>;
 }
 
-/** Values used where a service has no program, or its program failed. */
+/** Defaults for decisions without a program or whose program failed. */
 export const POLICY_DEFAULTS = {
   place: "least-loaded",
   limit: 0,
@@ -32,11 +32,11 @@
 } as const satisfies Readonly<Record<PolicyKind, string | number>>;
 
 /**
- * Decides a request by the service's programs.
+ * Evaluates a service's programs for a request.
  *
  * @param programs - The service's programs.
- * @param input - What they see.
- * @returns The decision; a program that fails or returns what it must not counts as absent.
+ * @param input - Variables of the programs.
+ * @returns The decisions; the default is used if a program fails or its result violates the constraints.
  */
 export function evaluatePolicies(programs: Programs, input: PolicyInput): PolicyDecision {
   const failures: Array<{ readonly policy: PolicyKind; readonly message: string }> = [];
--- a/policy/mod.ts
+++ b/policy/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Policy programs: short CEL expressions that place, limit, retry, refuse and finish requests.
+ * Policy programs: CEL expressions that decide on placement, rate limits, retries, refusal and coverage.
  *
  * @module
  */
--- a/policy/policy_input.ts
+++ b/policy/policy_input.ts
@@ -1,19 +1,19 @@
 /**
- * What a policy program sees of a request.
+ * Input of policy programs.
  *
  * @module
  */
 import type { QueryRequest } from "../model/mod.js";
 
-/** How busy the service looks from the box that decides. */
+/** Load of the service as observed by this box. */
 export interface PolicyLoad {
-  /** Queries of the service in flight on this box. */
+  /** Number of the service's queries in flight on this box. */
   readonly inFlight: number;
-  /** Share of the service's leafs that take calls, 0 to 1. */
+  /** Fraction of the service's leafs that accept calls, 0 to 1. */
   readonly availableShare: number;
 }
 
-/** The variables of a policy program. */
+/** Variables available to a policy program. */
 export interface PolicyInput {
   readonly request: Pick<
     QueryRequest,
@@ -22,10 +22,10 @@
   readonly load: PolicyLoad;
 }
 
-/** Names that a policy program may use. */
+/** Names of the variables available to a policy program. */
 export const POLICY_VARIABLES = ["request", "load"] as const;
 
-/** A request that programs are tried with when they are submitted. */
+/** Sample input that programs are run with when they are compiled. */
 export const SAMPLE_INPUT: PolicyInput = {
   request: {
     service: "sample",
@@ -40,11 +40,11 @@
 };
 
 /**
- * Picks out of a query what a policy program may see.
+ * Builds the input of policy programs from a query.
  *
  * @param request - The caller's query.
- * @param load - How busy the service is.
- * @returns The program's variables.
+ * @param load - Load of the service.
+ * @returns Variables of the programs.
  */
 export function policyInput(request: QueryRequest, load: PolicyLoad): PolicyInput {
   const { service, caller, rights, priority, deadlineMs, wantedCoverage, repeatable } = request;
