--- a/query/merge_rows.ts
+++ b/query/merge_rows.ts
@@ -1,15 +1,15 @@
 /**
- * Puts the rows of several shards together.
+ * Merges rows from several shards.
  *
  * @module
  */
 import type { MergeSpec, Row } from "../model/mod.js";
 
 /**
- * Merges rows: in the order of the shards, or by a field with ties in the order of the shards.
+ * Merges rows in the order of the shards, or ordered by a field with ties in the order of the shards.
  *
  * @param parts - Rows of each shard, in the order of the snapshot's shards.
- * @param merge - Field to order by and most rows to keep.
+ * @param merge - Field to order by and maximum number of rows.
  * @returns The merged rows; rows without the field come last.
  */
 export function mergeRows(
--- a/query/mod.ts
+++ b/query/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What a query is made of: rows, coverage and outcome.
+ * Assembly of query answers: rows, coverage and outcome.
  *
  * @module
  */
--- a/query/naive_gather.ts
+++ b/query/naive_gather.ts
@@ -1,12 +1,12 @@
 /**
- * A plain scatter-gather over answers that are all there, to compare the engine with.
+ * Reference implementation of scatter-gather over a complete set of answers, for comparison with the engine.
  *
  * @module
  */
 import type { Coverage, MergeSpec, Row } from "../model/mod.js";
 import { mergeRows } from "./merge_rows.js";
 
-/** One leaf's answer. */
+/** The answer of one leaf. */
 export interface GatheredAnswer {
   readonly snapshot: string;
   readonly shard: string;
@@ -14,12 +14,12 @@
 }
 
 /**
- * Takes the first answer of each shard that was read at the wanted snapshot.
+ * Merges the first answer of each shard for the given snapshot.
  *
  * @param shards - All shards of the snapshot.
- * @param answers - Answers in the order of their arrival.
- * @param options - The snapshot and how rows are merged.
- * @returns Rows and coverage; reasons are left at "no replica".
+ * @param answers - Answers in order of arrival.
+ * @param options - Snapshot to read and merge options.
+ * @returns Rows and coverage; missing shards always have the reason "no replica".
  */
 export function naiveGather(
   shards: ReadonlyArray<string>,
--- a/query/snapshot_group.ts
+++ b/query/snapshot_group.ts
@@ -1,18 +1,17 @@
 /**
- * The shards of one snapshot and what became of each within a query. Rows of two groups are never
- * merged.
+ * The shards of one snapshot and their outcomes within a query. Rows of different groups are never merged.
  *
  * @module
  */
 import { Map as ImmutableMap } from "immutable";
 import type { MissingReason, Row, SnapshotSpec } from "../model/mod.js";
 
-/** What became of one shard. */
+/** Outcome of one shard. */
 export type ShardOutcome =
   | { readonly kind: "included"; readonly rows: ReadonlyArray<Row> }
   | { readonly kind: "lacking"; readonly reason: MissingReason; readonly notRun: boolean };
 
-/** The shards of a pinned snapshot. */
+/** The shards of a snapshot that a query reads, with the outcomes known so far. */
 export interface SnapshotGroup {
   readonly snapshot: string;
   readonly shards: ReadonlyArray<string>;
@@ -21,10 +20,10 @@
 }
 
 /**
- * Pins a snapshot.
+ * Creates the group for a snapshot.
  *
- * @param spec - The snapshot with its shards.
- * @returns A group in which no shard is settled.
+ * @param spec - The snapshot and its shards.
+ * @returns A group without outcomes.
  */
 export function pinSnapshot(spec: SnapshotSpec): SnapshotGroup {
   const shards = spec.shards.map((each) => each.shard);
@@ -32,12 +31,12 @@
 }
 
 /**
- * Settles a shard; the first outcome counts and later ones change nothing.
+ * Sets the outcome of a shard. The first outcome is final; later ones are ignored.
  *
- * @param group - The group so far.
+ * @param group - The current group.
  * @param shard - Shard of the group's snapshot.
- * @param outcome - What became of it.
- * @returns The group after that.
+ * @param outcome - Outcome of the shard.
+ * @returns The updated group.
  */
 export function settleShard(
   group: SnapshotGroup,
@@ -52,20 +51,20 @@
 }
 
 /**
- * Tells how much of the snapshot is covered.
+ * Computes the coverage of the snapshot.
  *
  * @param group - The group.
- * @returns Share of shards included, 0 to 1.
+ * @returns Fraction of shards included, 0 to 1.
  */
 export function coverageRatio(group: SnapshotGroup): number {
   return group.includedCount / group.shards.length;
 }
 
 /**
- * Tells whether nothing is awaited any more.
+ * Returns whether all shards have an outcome.
  *
  * @param group - The group.
- * @returns Whether each shard is settled.
+ * @returns Whether no shard is pending.
  */
 export function isSettled(group: SnapshotGroup): boolean {
   return group.settled.size === group.shards.length;
--- a/query/summarise_group.ts
+++ b/query/summarise_group.ts
@@ -1,5 +1,5 @@
 /**
- * Turns what became of a snapshot's shards into coverage, rows and an outcome.
+ * Computes coverage, rows and outcome of a query from the outcomes of its shards.
  *
  * @module
  */
@@ -14,30 +14,30 @@
 import { mergeRows } from "./merge_rows.js";
 import type { SnapshotGroup } from "./snapshot_group.js";
 
-/** What an answer says of its group. */
+/** Summary of a group, as returned in the answer. */
 export interface GroupSummary {
   readonly outcome: Outcome;
-  /** Whether every part of the query is known not to have run. */
+  /** Whether the query is known not to have run on any shard. */
   readonly notRun: boolean;
   readonly coverage: Coverage;
   readonly rows: ReadonlyArray<Row>;
 }
 
-/** How a group is summed up. */
+/** Options for `summariseGroup()`. */
 export interface SummariseOptions {
   readonly merge: MergeSpec;
-  /** Why shards that are not settled are lacking. */
+  /** Reason reported for shards without an outcome. */
   readonly unsettledReason: MissingReason;
-  /** Tells whether nothing of a shard that is not settled has been sent. */
+  /** Returns whether nothing has been sent to a shard without an outcome. */
   readonly unsettledNotRun: (shard: string) => boolean;
 }
 
 /**
- * Sums a group up. Coverage is computed from what is merged, not from what was asked.
+ * Summarises a group. Coverage reflects the rows that were merged, not the shards that were called.
  *
  * @param group - The group.
- * @param options - How rows are merged and what unsettled shards count as.
- * @returns The summary; included and lacking together are exactly the group's shards.
+ * @param options - Merge options and treatment of shards without an outcome.
+ * @returns The summary; each shard of the group is either included or lacking.
  */
 export function summariseGroup(group: SnapshotGroup, options: SummariseOptions): GroupSummary {
   const included: Array<string> = [];
