--- a/relay/_failed_part_of.ts
+++ b/relay/_failed_part_of.ts
@@ -1,21 +1,23 @@
 /**
- * Tells whether a call to a leaf has brought a part that can be handed to another box.
+ * Classifies the outcome of a relayed leaf call.
  *
  * @module
  */
 import type { AttemptOutcome, FailedPart } from "../request/mod.js";
 
 /**
- * Tells why a call brought no part.
+ * Returns why a call has no part (the result of one shard) for the requesting box.
  *
- * @param outcome - How the call ended.
- * @returns Why there is none; nothing where there is one.
+ * @param outcome - Outcome of the call.
+ * @returns The reason, or `undefined` if the call returned a part.
  */
 export function failedPartOf(outcome: AttemptOutcome): FailedPart | undefined {
-  return (LOST_PARTS[outcome.kind] as (outcome: AttemptOutcome) => FailedPart | undefined)(outcome);
+  return (CLASSIFIERS[outcome.kind] as (outcome: AttemptOutcome) => FailedPart | undefined)(
+    outcome,
+  );
 }
 
-const LOST_PARTS: {
+const CLASSIFIERS: {
   readonly [K in AttemptOutcome["kind"]]: (
     outcome: Extract<AttemptOutcome, { readonly kind: K }>,
   ) => FailedPart | undefined;
@@ -24,11 +26,11 @@
     return statusCode >= 200 && statusCode < 300 && signature !== "" ? undefined : "failed";
   },
   refused: () => "refused",
-  failed: ({ blockReason: barrier, connectionClosed: connectionLost = false, sent }) => {
-    if (connectionLost) {
+  failed: ({ blockReason, connectionClosed = false, sent }) => {
+    if (connectionClosed) {
       return "connection lost";
     }
-    if (barrier?.kind === "quarantined") {
+    if (blockReason?.kind === "quarantined") {
       return "blocked";
     }
     return sent ? "failed" : "declined";
--- a/relay/_leaf_call_template.ts
+++ b/relay/_leaf_call_template.ts
@@ -1,5 +1,5 @@
 /**
- * Turns another box's order into calls to leafs.
+ * Derives leaf calls from a relay request.
  *
  * @module
  */
@@ -7,24 +7,24 @@
 import { requestFingerprint } from "../quarantine/mod.js";
 import { type RelayRequest, servicesOf } from "./relay_request.js";
 
-/** What all calls of an order share. */
+/** Properties that all leaf calls of a relay request share. */
 export type LeafCallTemplate = Omit<LeafCall, "leaf" | "deadlineAtMs">;
 
 /**
- * Makes what the calls of an order share.
+ * Creates the properties that all leaf calls of a relay request share. Only requests without a body are relayed.
  *
- * @param order - The order.
- * @returns The calls' common part; only requests without a body are ordered.
+ * @param request - The relay request.
+ * @returns The shared properties.
  */
-export function leafCallTemplate(order: RelayRequest): LeafCallTemplate {
-  const { requestId, method, path, headers } = order;
+export function leafCallTemplate(request: RelayRequest): LeafCallTemplate {
+  const { requestId, method, path, headers } = request;
   const body = undefined;
   const host = hostOf(headers);
   const fingerprint = requestFingerprint({ method, caller: host, path, body });
   const routeKey = { host, path };
   const content = { requestId, method, path, headers, body, fingerprint, routeKey };
-  const mostBytes = maxAnswerBytes(servicesOf(order).length);
-  return { ...content, maxBytes: mostBytes, repeatable: true, isTrial: false };
+  const maxBytes = maxAnswerBytes(servicesOf(request).length);
+  return { ...content, maxBytes, repeatable: true, isTrial: false };
 }
 
 function hostOf(headers: ReadonlyArray<string>): string {
--- a/relay/_merged_relay.ts
+++ b/relay/_merged_relay.ts
@@ -1,6 +1,6 @@
 /**
- * Asks leafs near this box for another box, and hands it their parts merged: those that come in
- * their usual time together, stragglers each as it comes.
+ * Handles relay requests for merged parts: calls local leafs for another box and merges their parts. The parts that arrive
+ * within the typical latency are sent in one frame, later ones as they arrive.
  *
  * @module
  */
@@ -26,60 +26,56 @@
 import { encodeRelayFrame } from "./relay_frames.js";
 import type { MergedRelayRequest } from "./relay_request.js";
 
-/**
- * The first frame goes when the leafs asked have had this many times their usual time, so that one
- * that pauses does not hold up the others.
- */
-const PATIENCE_FACTOR = 1.8;
+/** The first frame is sent after this multiple of the leafs' typical latency, so that a slow leaf does not delay it. */
+const FIRST_FRAME_LATENCY_FACTOR = 1.8;
 
-/** Added to that, in milliseconds, for work that takes longer than the mean. */
-const PATIENCE_MS = 4;
+/** Margin added to that time, in milliseconds. */
+const FIRST_FRAME_MARGIN_MS = 4;
 
-/**
- * Times the patience of the box that asked that a call may wait at a leaf which this box keeps full; with
- * more it had better ask elsewhere. Just after a start calls pile up for want of processor time, and
- * declining them all left queries with no leaf to turn to.
- */
-const MOST_QUEUE_PATIENCES = 1.5;
+/** Maximum queueing delay at a full leaf, as a multiple of the request's wait limit; calls above it are declined. */
+const MAX_QUEUE_FACTOR = 1.5;
 
-interface NearPart {
+interface LocalPart {
   readonly service: string;
   readonly signature: string;
   readonly body: Buffer;
 }
 
-/** One order for merged parts under way. */
+/** A relay request for merged parts in progress. */
 export class MergedRelay implements Relay {
-  readonly #order: MergedRelayRequest;
+  readonly #request: MergedRelayRequest;
   readonly #response: ServerResponse;
   readonly #options: RelayServerOptions;
   readonly #call: LeafCallTemplate;
   readonly #open = new Set<OpenCall>();
-  #waiting: Array<NearPart> = [];
-  #lost = new Map<string, FailedPart>();
+  #pendingParts: Array<LocalPart> = [];
+  #failed = new Map<string, FailedPart>();
   #openCount = 0;
   #hasFlushed = false;
-  /** Waits at the leafs asked, in milliseconds, until they are told with the first frame. */
+  /** Queueing delays at the called leafs, in milliseconds, until they are reported with the first frame. */
   #queuesMs: Array<number> = [];
-  /** The greatest of the records handed over so far. */
-  #handedOver: Buffer = Buffer.alloc(0);
+  /** The top records sent so far. */
+  #sentRecords: Buffer = Buffer.alloc(0);
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(order: MergedRelayRequest, response: ServerResponse, options: RelayServerOptions) {
-    this.#order = order;
-    this.#call = leafCallTemplate(order);
+  constructor(request: MergedRelayRequest, response: ServerResponse, options: RelayServerOptions) {
+    this.#request = request;
+    this.#call = leafCallTemplate(request);
     this.#response = response;
     this.#options = options;
   }
 
   start(): void {
-    let usualMs = 0;
-    for (const service of this.#order.services) {
-      usualMs = Math.max(usualMs, this.#ask(service));
+    let latencyMs = 0;
+    for (const service of this.#request.services) {
+      latencyMs = Math.max(latencyMs, this.#callLeaf(service));
     }
-    this.#tellLost();
-    const patienceMs = Math.min(this.#order.waitLimitMs, usualMs * PATIENCE_FACTOR + PATIENCE_MS);
-    this.#timer = setTimeout(() => this.#endPatience(), patienceMs);
+    this.#reportFailures();
+    const firstFrameMs = Math.min(
+      this.#request.waitLimitMs,
+      latencyMs * FIRST_FRAME_LATENCY_FACTOR + FIRST_FRAME_MARGIN_MS,
+    );
+    this.#timer = setTimeout(() => this.#sendFirstFrame(), firstFrameMs);
     this.#endIfDone();
   }
 
@@ -90,57 +86,59 @@
     }
   }
 
-  /** Asks a near leaf; tells how long it usually takes, 0 where there is none. */
-  #ask(service: string): number {
-    const { access, calls, distance, leafs, nowMs, eventLoopIdleMs: waitedMs } = this.#options;
-    const near = (leafs().byService.get(service) ?? []).filter((leaf) => {
+  /** Calls a local leaf; returns its typical latency in milliseconds, or 0 if none is available. */
+  #callLeaf(service: string): number {
+    const { access, calls, distance, leafs, nowMs, eventLoopIdleMs } = this.#options;
+    const local = (leafs().byService.get(service) ?? []).filter((leaf) => {
       return (
         distance(leaf) !== "remote" &&
         access.blockReasonForLeaf(leaf, this.#call.routeKey) === undefined
       );
     });
     const now = nowMs();
-    const mostQueueMs = this.#order.waitLimitMs * MOST_QUEUE_PATIENCES;
-    const sound = near.filter((leaf) => {
-      const condition = calls.health(leaf.leafId) ?? INITIAL_LEAF_HEALTH;
-      const isShort = !isFull(condition, leaf) || queueMs(leaf, condition, now) <= mostQueueMs;
-      return isShort && isSound(condition, { nowMs: now, waitedMs: waitedMs() });
+    const maxQueueMs = this.#request.waitLimitMs * MAX_QUEUE_FACTOR;
+    const available = local.filter((leaf) => {
+      const health = calls.health(leaf.leafId) ?? INITIAL_LEAF_HEALTH;
+      const hasShortQueue = !isFull(health, leaf) || queueMs(leaf, health, now) <= maxQueueMs;
+      return (
+        hasShortQueue && isAvailable(health, { nowMs: now, eventLoopIdleMs: eventLoopIdleMs() })
+      );
     });
-    const chosen = chooseLeaf(sound, {
+    const chosen = chooseLeaf(available, {
       nowMs: now,
-      eventLoopIdleMs: waitedMs(),
+      eventLoopIdleMs: eventLoopIdleMs(),
       health: (leafId) => calls.health(leafId),
       distance,
       isCold: (leafId) => access.isCold(leafId),
-      excluded: NONE,
+      excluded: NO_LEAF_IDS,
     });
     if (chosen === undefined) {
-      this.#lost.set(service, "declined");
+      this.#failed.set(service, "declined");
       return 0;
     }
     this.#queuesMs.push(chosen.queueMs);
-    const { leftMs } = this.#order;
+    const { leftMs } = this.#request;
     this.#openCount += 1;
     const open = calls.send(
       { ...this.#call, leaf: chosen.leaf, deadlineAtMs: now + leftMs },
       (outcome) => {
         this.#openCount -= 1;
         this.#open.delete(open);
-        this.#take(service, outcome);
+        this.#onOutcome(service, outcome);
       },
     );
     this.#open.add(open);
     return chosen.typicalLatencyMs;
   }
 
-  #take(service: string, outcome: AttemptOutcome): void {
-    const why = failedPartOf(outcome);
-    if (why !== undefined) {
-      this.#lost.set(service, why);
-      this.#tellLost();
+  #onOutcome(service: string, outcome: AttemptOutcome): void {
+    const reason = failedPartOf(outcome);
+    if (reason !== undefined) {
+      this.#failed.set(service, reason);
+      this.#reportFailures();
     } else if (outcome.kind === "answered") {
       const { signature, body } = outcome.answer;
-      this.#waiting.push({ service, signature, body });
+      this.#pendingParts.push({ service, signature, body });
     }
     if (this.#hasFlushed) {
       this.#flush();
@@ -148,57 +146,57 @@
     this.#endIfDone();
   }
 
-  /** At once: the box that asked can turn to other leafs. */
-  #tellLost(): void {
-    if (this.#lost.size > 0) {
-      this.#tell([]);
+  /** Reports failures immediately, so that the requesting box can call other leafs. */
+  #reportFailures(): void {
+    if (this.#failed.size > 0) {
+      this.#sendFrame([]);
     }
   }
 
-  /** Even without a part the box that asked hears, so that it need not doubt the connection. */
-  #endPatience(): void {
-    if (this.#waiting.length === 0 && !this.#response.destroyed) {
-      this.#response.write(NOTHING_YET);
+  /** Sends a frame even without parts, so that the requesting box knows that the connection is alive. */
+  #sendFirstFrame(): void {
+    if (this.#pendingParts.length === 0 && !this.#response.destroyed) {
+      this.#response.write(EMPTY_FRAME);
     }
     this.#flush();
   }
 
   #flush(): void {
     this.#hasFlushed = true;
-    const parts = this.#waiting;
-    this.#waiting = [];
-    this.#tell(parts);
+    const parts = this.#pendingParts;
+    this.#pendingParts = [];
+    this.#sendFrame(parts);
   }
 
-  #tell(parts: ReadonlyArray<NearPart>): void {
-    if (parts.length + this.#lost.size === 0 || this.#response.destroyed) {
+  #sendFrame(parts: ReadonlyArray<LocalPart>): void {
+    if (parts.length + this.#failed.size === 0 || this.#response.destroyed) {
       return;
     }
     this.#options.onParts(parts.length);
-    const lost = this.#lost;
-    this.#lost = new Map();
+    const failed = this.#failed;
+    this.#failed = new Map();
     const signatures = new Map(parts.map(({ service, signature }) => [service, signature]));
     const records = this.#newRecords(parts.map(({ body }) => body));
-    const queueMs = this.#takeQueue();
+    const queueMs = this.#takeMedianQueueMs();
     this.#response.write(
-      encodeRelayFrame({ signatures, records, failed: lost, queueMs }, this.#order.services),
+      encodeRelayFrame({ signatures, records, failed, queueMs }, this.#request.services),
     );
   }
 
-  /** The middle one of the waits; nothing more once it has been told. */
-  #takeQueue(): number {
+  /** Returns the median queueing delay in milliseconds, and resets it to 0. */
+  #takeMedianQueueMs(): number {
     const queues = this.#queuesMs.sort((a, b) => a - b);
     this.#queuesMs = [];
     return Math.round(queues[Math.floor(queues.length / 2)] ?? 0);
   }
 
-  /** Those of the greatest records that have not been handed over: a straggler adds but a few. */
+  /** Returns the top records that have not been sent yet. */
   #newRecords(bodies: ReadonlyArray<Buffer>): Buffer {
-    const { topRecords } = this.#order;
-    const all = [this.#handedOver, ...bodies];
-    const leastRecord = recordThreshold(all, { topRecords });
-    const records = mergeRecords(bodies, { topRecords, minRecord: leastRecord });
-    this.#handedOver = mergeRecords(all, { topRecords });
+    const { topRecords } = this.#request;
+    const all = [this.#sentRecords, ...bodies];
+    const minRecord = recordThreshold(all, { topRecords });
+    const records = mergeRecords(bodies, { topRecords, minRecord });
+    this.#sentRecords = mergeRecords(all, { topRecords });
     return records;
   }
 
@@ -211,16 +209,16 @@
   }
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_LEAF_IDS: ReadonlySet<string> = new Set();
 
-const NOTHING_YET = encodeRelayFrame(
+const EMPTY_FRAME = encodeRelayFrame(
   { signatures: new Map(), records: Buffer.alloc(0), failed: new Map() },
   [],
 );
 
-function isSound(
-  condition: LeafHealth,
-  { nowMs, waitedMs }: { readonly nowMs: number; readonly waitedMs: number },
+function isAvailable(
+  health: LeafHealth,
+  { nowMs, eventLoopIdleMs }: { readonly nowMs: number; readonly eventLoopIdleMs: number },
 ): boolean {
-  return condition.avoidUntilMs <= nowMs && !isUnresponsive(condition, waitedMs);
+  return health.avoidUntilMs <= nowMs && !isUnresponsive(health, eventLoopIdleMs);
 }
--- a/relay/_relay.ts
+++ b/relay/_relay.ts
@@ -1,5 +1,5 @@
 /**
- * What all kinds of orders share while they are answered.
+ * Interfaces shared by the handlers of relay requests.
  *
  * @module
  */
@@ -8,23 +8,23 @@
 import type { LeafAccess } from "../leaf_access/mod.js";
 import type { Distance, Leaf, LeafTable } from "../leafs/mod.js";
 
-/** What the server needs of its box. */
+/** Options of the relay server. */
 export interface RelayServerOptions {
   readonly nowMs: () => number;
-  /** Stands still while this box is busy. */
+  /** Returns the event-loop idle time, in milliseconds. */
   readonly eventLoopIdleMs: () => number;
   readonly calls: LeafCalls;
   readonly leafs: () => LeafTable;
   readonly distance: (leaf: Leaf) => Distance;
-  /** Tells which leafs may be called; by what this box knows itself. */
+  /** Decides which leafs may be called. */
   readonly access: Pick<LeafAccess, "blockReasonForLeaf" | "isCold">;
-  /** Told how many parts were handed over. */
+  /** Called with the number of parts sent. */
   readonly onParts: (count: number) => void;
 }
 
-/** An order under way. */
+/** A relay request in progress. */
 export interface Relay {
   start(): void;
-  /** Ends the calls that are open; the box that asked has gone or has all it wanted. */
+  /** Abandons the open calls, as the requesting box has disconnected or needs no more parts. */
   stop(): void;
 }
--- a/relay/_relay_response_reader.ts
+++ b/relay/_relay_response_reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what another box answers to one order.
+ * Reads the response to one relay request.
  *
  * @module
  */
@@ -8,62 +8,62 @@
 import { RelayFrameReader } from "./relay_frames.js";
 import { type RelayRequest, servicesOf } from "./relay_request.js";
 
-/** Told what comes of an order. */
+/** Receives the results of a relay request. */
 export interface RelayListener {
   onParts(parts: RelayedParts): void;
-  /** Told once when nothing more will come. */
+  /** Called once when no more parts will arrive. */
   onEnd(): void;
 }
 
-type Noted = "answered" | "failed" | "abandoned";
+type RelayResult = "answered" | "failed" | "abandoned";
 
-/** Told what becomes of an order, beside the one who gave it. */
+/** Observes the progress of a relay request, to track the health of the relaying box. */
 export interface RelayObserver {
-  /** Told once whether the box answers. */
-  onResult(result: Noted): void;
-  /** Told how long calls wait at the leafs near the box, in milliseconds, when it answers first. */
+  /** Called once with the result of the request. */
+  onResult(result: RelayResult): void;
+  /** Called with the queueing delay at the box's local leafs, in milliseconds, as reported in the first frame. */
   onQueue(queueMs: number): void;
-  /** Told once when the order is over. */
+  /** Called once when the request has ended. */
   onEnded(): void;
 }
 
-/** Reads the frames of one order; the box counts as answering from its first one on. */
+/** Reads the frames of one response. The box is considered responsive from the first frame. */
 export class RelayResponseReader implements Dispatcher.DispatchHandler {
   readonly #listener: RelayListener;
-  readonly #watcher: RelayObserver;
+  readonly #observer: RelayObserver;
   readonly #frames: RelayFrameReader;
   #controller: Dispatcher.DispatchController | undefined;
-  #noted = false;
+  #hasResult = false;
   #ended = false;
 
   /**
-   * @param order - The order.
-   * @param listener - Told what comes of it.
-   * @param watcher - Told how the box behaves.
+   * @param request - The relay request.
+   * @param listener - Receives the results.
+   * @param observer - Observes the progress.
    */
-  constructor(order: RelayRequest, listener: RelayListener, watcher: RelayObserver) {
+  constructor(request: RelayRequest, listener: RelayListener, observer: RelayObserver) {
     this.#listener = listener;
-    this.#watcher = watcher;
-    this.#frames = new RelayFrameReader(servicesOf(order));
+    this.#observer = observer;
+    this.#frames = new RelayFrameReader(servicesOf(request));
   }
 
-  /** Whether the box has answered anything. */
-  get hasResponded(): boolean {
-    return this.#noted;
+  /** Whether the request has been answered, has failed or was abandoned. */
+  get hasResult(): boolean {
+    return this.#hasResult;
   }
 
-  /** Ends the order for the one who gave it. */
+  /** Abandons the request on behalf of its sender. */
   abandon(): void {
-    this.#noteOnce("abandoned");
+    this.#setResult("abandoned");
     this.#close();
     this.#controller?.abort(new Error("abandoned"));
   }
 
-  /** Ends the order because nothing more is to be expected of its connection. */
+  /** Fails the request, as its connection is unresponsive or its deadline has passed. */
   fail(): void {
-    this.#noteOnce("failed");
+    this.#setResult("failed");
     this.#end();
-    this.#controller?.abort(new Error("broken off"));
+    this.#controller?.abort(new Error("relay request aborted"));
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
@@ -74,33 +74,33 @@
   }
 
   onResponseStart(): void {
-    // The frames tell all there is.
+    // All information is in the frames.
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
     for (const parts of this.#frames.read(chunk)) {
-      if (!this.#noted) {
-        this.#watcher.onQueue(parts.queueMs ?? 0);
+      if (!this.#hasResult) {
+        this.#observer.onQueue(parts.queueMs ?? 0);
       }
-      this.#noteOnce("answered");
+      this.#setResult("answered");
       this.#listener.onParts(parts);
     }
   }
 
   onResponseEnd(): void {
-    this.#noteOnce("answered");
+    this.#setResult("answered");
     this.#end();
   }
 
   onResponseError(): void {
-    this.#noteOnce("failed");
+    this.#setResult("failed");
     this.#end();
   }
 
-  #noteOnce(result: Noted): void {
-    if (!this.#noted) {
-      this.#noted = true;
-      this.#watcher.onResult(result);
+  #setResult(result: RelayResult): void {
+    if (!this.#hasResult) {
+      this.#hasResult = true;
+      this.#observer.onResult(result);
     }
   }
 
@@ -110,12 +110,12 @@
     }
   }
 
-  /** Tells whether it was open until now. */
+  /** Closes the request; returns whether it was open. */
   #close(): boolean {
     const wasOpen = !this.#ended;
     this.#ended = true;
     if (wasOpen) {
-      this.#watcher.onEnded();
+      this.#observer.onEnded();
     }
     return wasOpen;
   }
--- a/relay/_separate_relay.ts
+++ b/relay/_separate_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Asks the leafs that another box names, and hands over each part as soon as it is in.
+ * Handles relay requests for separate parts: calls the leafs that another box names, and sends each part as it arrives.
  *
  * @module
  */
@@ -18,25 +18,29 @@
 import { encodeRelayFrame } from "./relay_frames.js";
 import { type SeparateCall, type SeparateRelayRequest, servicesOf } from "./relay_request.js";
 
-/** One order for separate parts under way. */
+/** A relay request for separate parts in progress. */
 export class SeparateRelay implements Relay {
-  readonly #order: SeparateRelayRequest;
+  readonly #request: SeparateRelayRequest;
   readonly #response: ServerResponse;
   readonly #options: RelayServerOptions;
   readonly #call: LeafCallTemplate;
   readonly #open = new Set<OpenCall>();
   #openCount = 0;
 
-  constructor(order: SeparateRelayRequest, response: ServerResponse, options: RelayServerOptions) {
-    this.#order = order;
-    this.#call = leafCallTemplate(order);
+  constructor(
+    request: SeparateRelayRequest,
+    response: ServerResponse,
+    options: RelayServerOptions,
+  ) {
+    this.#request = request;
+    this.#call = leafCallTemplate(request);
     this.#response = response;
     this.#options = options;
   }
 
   start(): void {
-    const declined = this.#order.calls.filter((call) => !this.#ask(call));
-    this.#tellLost(
+    const declined = this.#request.calls.filter((call) => !this.#callLeaf(call));
+    this.#reportFailed(
       declined.map(({ service }) => service),
       "declined",
     );
@@ -49,36 +53,36 @@
     }
   }
 
-  /** Asks a leaf; tells whether this box knows it as one that may be asked. */
-  #ask({ service, leafId }: SeparateCall): boolean {
+  /** Calls a leaf; returns whether the leaf is known and may be called. */
+  #callLeaf({ service, leafId }: SeparateCall): boolean {
     const { access, calls, leafs, nowMs } = this.#options;
     const leaf = leafs().byId.get(leafId);
-    const condition = calls.health(leafId) ?? INITIAL_LEAF_HEALTH;
-    if (leaf === undefined || leaf.draining || condition.terminated || isFull(condition, leaf)) {
+    const health = calls.health(leafId) ?? INITIAL_LEAF_HEALTH;
+    if (leaf === undefined || leaf.draining || health.terminated || isFull(health, leaf)) {
       return false;
     }
     if (access.blockReasonForLeaf(leaf, this.#call.routeKey) !== undefined) {
       return false;
     }
-    const { leftMs } = this.#order;
+    const { leftMs } = this.#request;
     this.#openCount += 1;
     const open = calls.send({ ...this.#call, leaf, deadlineAtMs: nowMs() + leftMs }, (outcome) => {
       this.#openCount -= 1;
       this.#open.delete(open);
-      this.#take(service, outcome);
+      this.#onOutcome(service, outcome);
     });
     this.#open.add(open);
     return true;
   }
 
-  #take(service: string, outcome: AttemptOutcome): void {
-    const why = failedPartOf(outcome);
-    if (why !== undefined) {
-      this.#tellLost([service], why);
+  #onOutcome(service: string, outcome: AttemptOutcome): void {
+    const reason = failedPartOf(outcome);
+    if (reason !== undefined) {
+      this.#reportFailed([service], reason);
     } else if (outcome.kind === "answered" && !this.#response.destroyed) {
       const { signature, body } = outcome.answer;
-      const { topRecords, minRecord: leastRecord } = this.#order;
-      const records = mergeRecords([body], { topRecords, minRecord: leastRecord });
+      const { topRecords, minRecord } = this.#request;
+      const records = mergeRecords([body], { topRecords, minRecord });
       const signatures = new Map([[service, signature]]);
       this.#response.write(this.#encode({ signatures, records, failed: new Map() }));
       this.#options.onParts(1);
@@ -86,17 +90,17 @@
     this.#endIfDone();
   }
 
-  /** Says of services that they have no part, so that the box that asked need not wait for one. */
-  #tellLost(services: ReadonlyArray<string>, why: FailedPart): void {
+  /** Reports services without a part, so that the requesting box need not wait for them. */
+  #reportFailed(services: ReadonlyArray<string>, reason: FailedPart): void {
     if (services.length > 0 && !this.#response.destroyed) {
       const records = Buffer.alloc(0);
-      const lost = new Map(services.map((service) => [service, why]));
-      this.#response.write(this.#encode({ signatures: new Map(), records, failed: lost }));
+      const failed = new Map(services.map((service) => [service, reason]));
+      this.#response.write(this.#encode({ signatures: new Map(), records, failed }));
     }
   }
 
   #encode(parts: RelayedParts): Buffer {
-    return encodeRelayFrame(parts, servicesOf(this.#order));
+    return encodeRelayFrame(parts, servicesOf(this.#request));
   }
 
   #endIfDone(): void {
--- a/relay/merged_relay_test.ts
+++ b/relay/merged_relay_test.ts
@@ -9,7 +9,7 @@
 
 const SERVICES = ["s1", "s2"];
 
-const ORDER: MergedRelayRequest = {
+const REQUEST: MergedRelayRequest = {
   ...{ kind: "merged", requestId: "r", method: "GET", path: "/x", headers: [] },
   ...{ topRecords: 5, leftMs: 1_000, services: SERVICES, waitLimitMs: 50 },
 };
@@ -28,25 +28,25 @@
   };
 }
 
-/** Runs an order against leafs of which each is in a condition; calls end as the test says. */
-function startOrder(condition: Partial<LeafHealth>) {
+/** Runs a request against leafs with the given health; the test ends the calls. */
+function startRelay(health: Partial<LeafHealth>) {
   const ends = new Map<string, (outcome: AttemptOutcome) => void>();
-  const told: Array<RelayedParts> = [];
+  const sent: Array<RelayedParts> = [];
   const reader = new RelayFrameReader(SERVICES);
   const response = {
     destroyed: false,
-    write: (bytes: Buffer) => told.push(...reader.read(bytes)),
+    write: (bytes: Buffer) => sent.push(...reader.read(bytes)),
     end: () => undefined,
   } as unknown as ServerResponse;
   const calls = {
-    condition: () => ({ ...INITIAL_LEAF_HEALTH, ...condition }),
+    health: () => ({ ...INITIAL_LEAF_HEALTH, ...health }),
     send: ({ leaf }: { readonly leaf: Leaf }, onEnd: (outcome: AttemptOutcome) => void) => {
       ends.set(leaf.service, onEnd);
       return { abandon: () => undefined, withdraw: () => undefined };
     },
   } as unknown as LeafCalls;
   const leafs = SERVICES.map(leafOf);
-  const relay = new MergedRelay(ORDER, response, {
+  const relay = new MergedRelay(REQUEST, response, {
     ...{ nowMs: () => 0, eventLoopIdleMs: () => 0, calls, onParts: () => undefined },
     leafs: () => ({
       byId: new Map(leafs.map((leaf) => [leaf.leafId, leaf])),
@@ -58,24 +58,24 @@
   });
   relay.start();
   t.teardown(() => relay.stop());
-  return { ends, told };
+  return { ends, sent };
 }
 
-t.test("a leaf's refusal or failure is told at once, before the patience is over", async (t) => {
-  const { ends, told } = startOrder({});
+t.test("refusals and failures are reported immediately, before the wait limit", async (t) => {
+  const { ends, sent } = startRelay({});
   ends.get("s1")?.({ kind: "refused", reason: "full" });
-  t.same(told.at(-1)?.failed, new Map([["s1", "refused"]]));
+  t.same(sent.at(-1)?.failed, new Map([["s1", "refused"]]));
   ends.get("s2")?.({ kind: "failed", sent: true, reason: "reset" });
-  t.same(told.at(-1)?.failed, new Map([["s2", "failed"]]));
+  t.same(sent.at(-1)?.failed, new Map([["s2", "failed"]]));
 });
 
-/** Calls that this box has open at a leaf, more than it has slots. */
+/** More open calls than the leaf has slots. */
 const OPEN_CALLS = Array.from({ length: 5 }, (_, callId) => ({ callId, sentAtIdleMs: 0 }));
 
-t.test("a leaf that this box keeps full is asked while the wait is short", async (t) => {
-  const short = startOrder({ openCalls: OPEN_CALLS, workMs: 20 });
+t.test("a full leaf is called while its queueing delay is short", async (t) => {
+  const short = startRelay({ openCalls: OPEN_CALLS, workMs: 20 });
   t.same([...short.ends.keys()], SERVICES);
-  const long = startOrder({ openCalls: OPEN_CALLS, workMs: 80 });
+  const long = startRelay({ openCalls: OPEN_CALLS, workMs: 80 });
   t.same([...long.ends.keys()], []);
-  t.same([...(long.told[0]?.failed.values() ?? [])], ["declined", "declined"]);
+  t.same([...(long.sent[0]?.failed.values() ?? [])], ["declined", "declined"]);
 });
--- a/relay/mod.ts
+++ b/relay/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Boxes that ask leafs near them for boxes of other regions.
+ * Relaying of leaf calls between regions: a box calls its local leafs on behalf of boxes in other regions.
  *
  * @module
  */
--- a/relay/relay_calls.ts
+++ b/relay/relay_calls.ts
@@ -1,5 +1,5 @@
 /**
- * Asks other boxes for the parts of leafs near them.
+ * Client for relay requests: requests parts from leafs of another region through boxes there.
  *
  * @module
  */
@@ -17,207 +17,213 @@
 import { encodeRelayRequest, type RelayRequest } from "./relay_request.js";
 import { RELAY_PATH } from "./relay_server.js";
 
-/** Connections to one other box; each carries one order at a time. */
+/** Maximum number of connections per box; each carries one request at a time. */
 const CONNECTIONS = 16;
 
-/** Time that a new connection to a box has to come up, in milliseconds. */
-const CONNECT_MS = 500;
+/** Connection timeout, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 500;
 
-/** Expected time of a box that has not been asked, in milliseconds. */
-const UNKNOWN_MS = 60;
+/** Assumed latency of a box that has not been called yet, in milliseconds. */
+const ASSUMED_LATENCY_MS = 60;
 
 /**
- * Time beyond the patience of an order for merged parts after which its connection is given up, in
- * milliseconds: the box that was asked tells by then at least that it has nothing yet. Well above what
- * a box whose code is cold takes, as calls under way are broken off with the order.
+ * Time after the wait limit of a merged request at which an unresponsive connection is closed, in milliseconds. The relaying
+ * box sends a frame at the wait limit even if it has no parts.
  */
-const SILENT_MS = 1_000;
+const UNRESPONSIVE_MARGIN_MS = 1_000;
 
-/** Age at which a wait that a box told counts no more, in milliseconds. */
-const TOLD_QUEUE_MS = 300;
+/** Age at which a reported queueing delay is ignored, in milliseconds. */
+const QUEUE_REPORT_TTL_MS = 300;
 
-/** Time after its deadline at which an order is broken off, in milliseconds. */
-const OVERDUE_MS = 100;
+/** Time after its deadline at which a request is aborted, in milliseconds. */
+const OVERDUE_MARGIN_MS = 100;
 
-/** A box that can be asked. */
+/** The selected box. */
 export interface ChosenBox {
   readonly member: Member;
-  /** Time in which it usually answers, in milliseconds. */
+  /** Mean latency of the box, in milliseconds. */
   readonly typicalLatencyMs: number;
 }
 
-/** What a box told of the leafs near it. */
-interface ToldQueue {
+/** Queueing delay that a box reported for its local leafs. */
+interface QueueReport {
   readonly queueMs: number;
   readonly atMs: number;
 }
 
-/** An order that has not ended. */
-interface OpenOrder {
+/** A request that has not ended. */
+interface OpenRequest {
   readonly reader: RelayResponseReader;
   readonly pool: Pool;
   readonly origin: string;
-  /** Moment at which its connection is given up if nothing has come in on it. */
-  readonly silentAtMs: number;
-  /** Moment at which it is broken off in any case. */
+  /** Time at which the connection is closed if nothing has been received, in milliseconds. */
+  readonly unresponsiveAtMs: number;
+  /** Time at which the request is aborted in any case, in milliseconds. */
   readonly overdueAtMs: number;
 }
 
-/** What the orders need of their box. */
+/** Options of `RelayCalls`. */
 export interface RelayCallsOptions {
   readonly nowMs: () => number;
-  /** Tells the moment by a clock that stands still while this box is busy, in milliseconds. */
+  /** Returns the event-loop idle time, in milliseconds. */
   readonly eventLoopIdleMs: () => number;
-  /** Told when an order is sent and none was open. */
+  /** Called when a request is sent while no other is open. */
   readonly onActive?: () => void;
 }
 
-/** Orders to other boxes, and how these have behaved. */
+/** Sends relay requests to other boxes and tracks the health of these boxes. */
 export class RelayCalls {
   readonly #nowMs: () => number;
-  readonly #waitedMs: () => number;
-  readonly #onBusy: () => void;
+  readonly #eventLoopIdleMs: () => number;
+  readonly #onActive: () => void;
   readonly #pools = new Map<string, Pool>();
-  readonly #conditions = new Map<string, LeafHealth>();
-  readonly #queues = new Map<string, ToldQueue>();
-  readonly #open = new Map<number, OpenOrder>();
+  readonly #health = new Map<string, LeafHealth>();
+  readonly #queueReports = new Map<string, QueueReport>();
+  readonly #open = new Map<number, OpenRequest>();
   #nextCallId = 1;
 
   /**
-   * @param options - What the orders need of their box.
+   * @param options - Clocks and callbacks.
    */
-  constructor({
-    nowMs,
-    eventLoopIdleMs: waitedMs,
-    onActive: onBusy = () => undefined,
-  }: RelayCallsOptions) {
+  constructor({ nowMs, eventLoopIdleMs, onActive = () => undefined }: RelayCallsOptions) {
     this.#nowMs = nowMs;
-    this.#waitedMs = waitedMs;
-    this.#onBusy = onBusy;
+    this.#eventLoopIdleMs = eventLoopIdleMs;
+    this.#onActive = onActive;
   }
 
-  /** Orders that have not ended. */
+  /** Number of open requests. */
   get openCount(): number {
     return this.#open.size;
   }
 
   /**
-   * Picks the box with the fewest orders open among those that answer.
+   * Selects the responsive box with the fewest open requests.
    *
-   * @param members - Boxes of a region that can be given work.
-   * @returns The box, or nothing where none is to be relied on.
+   * @param members - Candidate boxes of a region.
+   * @returns The box, or `undefined` if none is available.
    */
   choose(members: ReadonlyArray<Member>): ChosenBox | undefined {
     const now = this.#nowMs();
     let best: ChosenBox | undefined;
-    let bestLoad = Number.POSITIVE_INFINITY;
+    let minLoad = Number.POSITIVE_INFINITY;
     for (const member of members) {
-      const condition = this.#conditionOf(member);
-      const isAvoided = condition.avoidUntilMs > now || isUnresponsive(condition, this.#waitedMs());
-      // Ties fall to a random box, so that boxes that start together do not all ask the same one.
-      const load = condition.openCalls.length + Math.random();
-      if (!isAvoided && load < bestLoad) {
-        const usualMs = condition.meanMs === 0 ? UNKNOWN_MS : condition.meanMs;
-        best = { member, typicalLatencyMs: usualMs };
-        bestLoad = load;
+      const health = this.#healthOf(member);
+      const isAvoided =
+        health.avoidUntilMs > now || isUnresponsive(health, this.#eventLoopIdleMs());
+      // Ties are broken at random, so that boxes started together do not all select the same one.
+      const load = health.openCalls.length + Math.random();
+      if (!isAvoided && load < minLoad) {
+        const typicalLatencyMs = health.meanMs === 0 ? ASSUMED_LATENCY_MS : health.meanMs;
+        best = { member, typicalLatencyMs };
+        minLoad = load;
       }
     }
     return best;
   }
 
   /**
-   * Tells how long calls wait at the leafs near some boxes, by what one of them told last.
+   * Returns the queueing delay at the leafs of a location, as last reported by one of its boxes.
    *
-   * @param members - Boxes at one place.
-   * @returns The time in milliseconds; 0 where none of them has told of late.
+   * @param members - Boxes of the location.
+   * @returns The delay in milliseconds; 0 without a recent report.
    */
   queueMs(members: ReadonlyArray<Member>): number {
-    let latest: ToldQueue = { queueMs: 0, atMs: this.#nowMs() - TOLD_QUEUE_MS };
+    let latest: QueueReport = { queueMs: 0, atMs: this.#nowMs() - QUEUE_REPORT_TTL_MS };
     for (const { memberId } of members) {
-      const told = this.#queues.get(memberId);
-      if (told !== undefined && told.atMs > latest.atMs) {
-        latest = told;
+      const report = this.#queueReports.get(memberId);
+      if (report !== undefined && report.atMs > latest.atMs) {
+        latest = report;
       }
     }
     return latest.queueMs;
   }
 
   /**
-   * Sends an order.
+   * Sends a relay request.
    *
-   * @param member - The box.
-   * @param order - What is wanted.
-   * @param listener - Told what comes of it.
-   * @returns The order under way.
+   * @param member - The relaying box.
+   * @param request - The relay request.
+   * @param listener - Receives the results.
+   * @returns A handle to abandon the request.
    */
-  send(member: Member, order: RelayRequest, listener: RelayListener): OpenCall {
+  send(member: Member, request: RelayRequest, listener: RelayListener): OpenCall {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const sent = recordCallSent(this.#conditionOf(member), { callId, waitedMs: this.#waitedMs() });
-    this.#conditions.set(member.memberId, sent);
-    const reader = new RelayResponseReader(order, listener, {
+    const sent = recordCallSent(this.#healthOf(member), {
+      callId,
+      waitedMs: this.#eventLoopIdleMs(),
+    });
+    this.#health.set(member.memberId, sent);
+    const reader = new RelayResponseReader(request, listener, {
       onResult: (result) => {
-        const end = { callId, nowMs: this.#nowMs(), eventLoopIdleMs: this.#waitedMs(), result };
-        this.#conditions.set(member.memberId, recordCallEnd(this.#conditionOf(member), end));
+        const end = {
+          callId,
+          nowMs: this.#nowMs(),
+          eventLoopIdleMs: this.#eventLoopIdleMs(),
+          result,
+        };
+        this.#health.set(member.memberId, recordCallEnd(this.#healthOf(member), end));
       },
       onQueue: (queueMs) => {
-        this.#queues.set(member.memberId, { queueMs, atMs: this.#nowMs() });
+        this.#queueReports.set(member.memberId, { queueMs, atMs: this.#nowMs() });
       },
       onEnded: () => this.#open.delete(callId),
     });
     const origin = originOf(member);
     const pool = this.#poolOf(origin);
-    const overdueAtMs = this.#nowMs() + order.leftMs + OVERDUE_MS;
-    const silentAtMs = silentMoment(order, this.#nowMs());
+    const overdueAtMs = this.#nowMs() + request.leftMs + OVERDUE_MARGIN_MS;
+    const unresponsiveAtMs = firstFrameDeadlineMs(request, this.#nowMs());
     if (this.#open.size === 0) {
-      this.#onBusy();
+      this.#onActive();
     }
-    this.#open.set(callId, { reader, pool, origin, silentAtMs, overdueAtMs });
+    this.#open.set(callId, { reader, pool, origin, unresponsiveAtMs, overdueAtMs });
     pool.dispatch(
       {
         method: "POST",
         path: RELAY_PATH,
-        body: encodeRelayRequest(order),
+        body: encodeRelayRequest(request),
         headersTimeout: 0,
         bodyTimeout: 0,
       },
       reader,
     );
-    // The box that was asked ends its own calls; an order waits for no connection worth speaking of.
+    // Withdrawing has no effect: requests are not queued, and the relaying box ends its own calls.
     return { abandon: () => reader.abandon(), withdraw: () => undefined };
   }
 
   /**
-   * Breaks off the orders whose deadline has passed, and those on connections that seem to have gone
-   * silent. The other connections to that box may be silent as well, so none of them is used again.
+   * Aborts requests whose deadline has passed or whose connection is unresponsive. After an unresponsive connection, none of
+   * the existing connections to that box is used again.
    */
   abortOverdue(): void {
     const nowMs = this.#nowMs();
-    for (const { origin, overdueAtMs, pool, reader, silentAtMs } of [...this.#open.values()]) {
-      const isSilent = !reader.hasResponded && nowMs > silentAtMs;
-      if (isSilent && this.#pools.get(origin) === pool) {
+    for (const { origin, overdueAtMs, pool, reader, unresponsiveAtMs } of [
+      ...this.#open.values(),
+    ]) {
+      const isConnectionUnresponsive = !reader.hasResult && nowMs > unresponsiveAtMs;
+      if (isConnectionUnresponsive && this.#pools.get(origin) === pool) {
         this.#pools.delete(origin);
         void pool.close();
       }
-      if (isSilent || nowMs > overdueAtMs) {
+      if (isConnectionUnresponsive || nowMs > overdueAtMs) {
         reader.fail();
       }
     }
   }
 
-  #conditionOf({ memberId }: Member): LeafHealth {
-    return this.#conditions.get(memberId) ?? INITIAL_LEAF_HEALTH;
+  #healthOf({ memberId }: Member): LeafHealth {
+    return this.#health.get(memberId) ?? INITIAL_LEAF_HEALTH;
   }
 
   #poolOf(origin: string): Pool {
-    const held = this.#pools.get(origin);
-    if (held !== undefined) {
-      return held;
+    const existing = this.#pools.get(origin);
+    if (existing !== undefined) {
+      return existing;
     }
     const pool = new Pool(origin, {
       connections: CONNECTIONS,
       pipelining: 1,
-      connect: { timeout: CONNECT_MS },
+      connect: { timeout: CONNECT_TIMEOUT_MS },
     });
     this.#pools.set(origin, pool);
     return pool;
@@ -228,9 +234,9 @@
   return `http://${address}:${peerPort}`;
 }
 
-/** Where each part comes by itself, nothing needs to come before the leafs have answered. */
-function silentMoment(order: RelayRequest, nowMs: number): number {
-  return order.kind === "merged"
-    ? nowMs + order.waitLimitMs + SILENT_MS
-    : nowMs + order.leftMs + OVERDUE_MS;
+/** Returns the time by which the first frame must arrive. For separate parts, that is the deadline. */
+function firstFrameDeadlineMs(request: RelayRequest, nowMs: number): number {
+  return request.kind === "merged"
+    ? nowMs + request.waitLimitMs + UNRESPONSIVE_MARGIN_MS
+    : nowMs + request.leftMs + OVERDUE_MARGIN_MS;
 }
--- a/relay/relay_calls_test.ts
+++ b/relay/relay_calls_test.ts
@@ -11,10 +11,10 @@
 
 const LOOPBACK = "127.0.0.1";
 
-/** Above the patience of `ORDER` and all slack on top of it, in milliseconds. */
+/** Longer than the wait limit of `REQUEST` and all margins, in milliseconds. */
 const LONG_MS = 5_000;
 
-const ORDER: MergedRelayRequest = {
+const REQUEST: MergedRelayRequest = {
   kind: "merged",
   requestId: "r1",
   method: "GET",
@@ -26,13 +26,13 @@
   waitLimitMs: 50,
 };
 
-/** A box that answers, but not on connections that were made silent. */
+/** Starts a box that answers except on connections that the test has made unresponsive. */
 async function startBox(t: Test) {
-  const silent = new Set<Socket>();
-  const known = new Set<Socket>();
+  const unresponsive = new Set<Socket>();
+  const sockets = new Set<Socket>();
   let unanswered = 0;
   const server = createServer((request, response) => {
-    if (!silent.has(request.socket)) {
+    if (!unresponsive.has(request.socket)) {
       const signatures = new Map([["s", "stamp"]]);
       const parts = { signatures, records: Buffer.alloc(16), failed: new Map() };
       response.end(encodeRelayFrame(parts, ["s"]));
@@ -40,26 +40,26 @@
     }
     unanswered += 1;
   });
-  server.on("connection", (socket) => known.add(socket));
+  server.on("connection", (socket) => sockets.add(socket));
   await new Promise<void>((resolve) => server.listen(0, LOOPBACK, resolve));
   t.teardown(() => server.close());
   t.teardown(() => server.closeAllConnections());
   const bound = server.address();
   const port = typeof bound === "object" && bound !== null ? bound.port : 0;
-  const silence = (): void => {
-    for (const socket of known) {
-      silent.add(socket);
+  const makeUnresponsive = (): void => {
+    for (const socket of sockets) {
+      unresponsive.add(socket);
     }
   };
   const countUnanswered = (): number => unanswered;
-  return { member: sampleMember({ peerPort: port }), silence, countUnanswered };
+  return { member: sampleMember({ peerPort: port }), makeUnresponsive, countUnanswered };
 }
 
-/** Sends an order; tells whether parts came in before its end. */
+/** Sends a request; resolves to whether parts arrived before its end. */
 function send(relays: RelayCalls, member: Member): Promise<boolean> {
   return new Promise((resolve) => {
     let parts: RelayedParts | undefined;
-    relays.send(member, ORDER, {
+    relays.send(member, REQUEST, {
       onParts: (each) => {
         parts = each;
       },
@@ -68,34 +68,31 @@
   });
 }
 
-t.test(
-  "dropOverdue() gives up connections that went silent, and the box is asked anew",
-  async (t) => {
-    const { countUnanswered, member, silence } = await startBox(t);
-    let nowMs = 0;
-    const relays = new RelayCalls({ nowMs: () => nowMs, eventLoopIdleMs: () => nowMs });
-    t.equal(await send(relays, member), true, "the first order is answered");
-    silence();
-    // The connection is free again only after its answer has been taken.
-    await new Promise((resolve) => setImmediate(resolve));
-    const lost = send(relays, member);
-    await until(async () => countUnanswered() === 1, "the order has reached the box");
-    nowMs += LONG_MS;
-    t.equal(relays.choose([member]), undefined, "a box that is silent is passed over");
-    relays.abortOverdue();
-    t.equal(await lost, false, "the order on the silent connection ends without parts");
-    nowMs += LONG_MS;
-    t.equal(relays.choose([member])?.member, member, "the box is chosen again");
-    t.equal(await send(relays, member), true, "on a new connection it answers");
-  },
-);
+t.test("abortOverdue() closes unresponsive connections, and the box is called again", async (t) => {
+  const { countUnanswered, member, makeUnresponsive } = await startBox(t);
+  let nowMs = 0;
+  const relays = new RelayCalls({ nowMs: () => nowMs, eventLoopIdleMs: () => nowMs });
+  t.equal(await send(relays, member), true, "the first request is answered");
+  makeUnresponsive();
+  // The connection is released only after the response has been processed.
+  await new Promise((resolve) => setImmediate(resolve));
+  const failed = send(relays, member);
+  await until(async () => countUnanswered() === 1, "the request has reached the box");
+  nowMs += LONG_MS;
+  t.equal(relays.choose([member]), undefined, "an unresponsive box is not selected");
+  relays.abortOverdue();
+  t.equal(await failed, false, "the request on the unresponsive connection ends without parts");
+  nowMs += LONG_MS;
+  t.equal(relays.choose([member])?.member, member, "the box is selected again");
+  t.equal(await send(relays, member), true, "the box answers on a new connection");
+});
 
-t.test("dropOverdue() leaves orders alone that have time left", async (t) => {
+t.test("abortOverdue() does not abort requests before their deadline", async (t) => {
   const { member } = await startBox(t);
   let nowMs = 0;
   const relays = new RelayCalls({ nowMs: () => nowMs, eventLoopIdleMs: () => nowMs });
   const answered = send(relays, member);
-  nowMs += ORDER.waitLimitMs;
+  nowMs += REQUEST.waitLimitMs;
   relays.abortOverdue();
   t.equal(await answered, true);
 });
--- a/relay/relay_frames.ts
+++ b/relay/relay_frames.ts
@@ -1,7 +1,6 @@
 /**
- * How boxes hand parts to one another: frames of a JSON head and the records' bytes, each behind its
- * length. Heads name services by their place in the order and are deflated where that saves bytes: 279
- * bytes become 113 for seven parts.
+ * Wire format of relayed parts: frames of a JSON header and record bytes, each prefixed with its length. Headers refer to
+ * services by their index in the relay request, and are deflated where that saves bytes.
  *
  * @module
  */
@@ -9,17 +8,16 @@
 import type { FailedPart, RelayedParts } from "../request/mod.js";
 
 /**
- * What stands before the records: places of services with signatures by turns, the wait at the leafs in
- * milliseconds, then the places of services without a part by reason; what is empty at the end is left
- * out.
+ * Header of a frame: service indexes and signatures in alternation, the queueing delay in milliseconds, then the indexes of
+ * services without a part, one list per reason. Empty trailing items are omitted.
  */
-type FrameHead = readonly [
+type FrameHeader = readonly [
   signatures: ReadonlyArray<number | string>,
   queueMs?: number,
-  ...lost: ReadonlyArray<ReadonlyArray<number>>,
+  ...failed: ReadonlyArray<ReadonlyArray<number>>,
 ];
 
-/** Reasons in the order in which a frame's head lists them. */
+/** Failure reasons, in the order of their lists in the header. */
 const REASONS: ReadonlyArray<FailedPart> = [
   "declined",
   "refused",
@@ -30,73 +28,75 @@
 
 const LENGTH_BYTES = 4;
 
-/** Set in the length of a head that is deflated. */
+/** Flag in the length prefix of a deflated header. */
 const DEFLATED_BIT = 0x8000_0000;
 
-/** Longest head that is left as it is, in bytes; deflating shorter ones saves next to nothing. */
-const SHORT_HEAD_BYTES = 100;
+/** Maximum length of a header that is not deflated, in bytes. */
+const MAX_PLAIN_HEADER_BYTES = 100;
 
-/** Longest frame taken, in bytes; far above what a query's parts come to. */
+/** Maximum length of a frame, in bytes. */
 const MAX_FRAME_BYTES = 16 * 1_048_576;
 
 /**
- * Writes parts as a frame.
+ * Encodes parts as a frame.
  *
  * @param parts - The parts.
- * @param services - Services of the order, in its own sequence.
+ * @param services - Services of the relay request, in its order.
  * @returns The frame.
  */
 export function encodeRelayFrame(parts: RelayedParts, services: ReadonlyArray<string>): Buffer {
   const { records } = parts;
-  const plain = Buffer.from(JSON.stringify(frameHead(parts, services)));
-  const isDeflated = plain.length > SHORT_HEAD_BYTES;
-  const head = isDeflated ? deflateRawSync(plain) : plain;
+  const plain = Buffer.from(JSON.stringify(frameHeader(parts, services)));
+  const isDeflated = plain.length > MAX_PLAIN_HEADER_BYTES;
+  const header = isDeflated ? deflateRawSync(plain) : plain;
   const lengths = Buffer.alloc(2 * LENGTH_BYTES);
-  lengths.writeUInt32BE(isDeflated ? head.length + DEFLATED_BIT : head.length, 0);
+  lengths.writeUInt32BE(isDeflated ? header.length + DEFLATED_BIT : header.length, 0);
   lengths.writeUInt32BE(records.length, LENGTH_BYTES);
-  return Buffer.concat([lengths, head, records]);
+  return Buffer.concat([lengths, header, records]);
 }
 
-function frameHead(
-  { signatures, failed: lost, queueMs = 0 }: RelayedParts,
+function frameHeader(
+  { signatures, failed, queueMs = 0 }: RelayedParts,
   services: ReadonlyArray<string>,
-): FrameHead {
-  const place = (service: string): number => services.indexOf(service);
-  const named = [...signatures].flatMap(([service, signature]) => [place(service), signature]);
+): FrameHeader {
+  const indexOf = (service: string): number => services.indexOf(service);
+  const signed = [...signatures].flatMap(([service, signature]) => [indexOf(service), signature]);
   const lists = REASONS.map((reason) => {
-    return [...lost].filter(([, why]) => why === reason).map(([service]) => place(service));
+    return [...failed]
+      .filter(([, failure]) => failure === reason)
+      .map(([service]) => indexOf(service));
   });
   const used = lists.slice(0, lists.findLastIndex((list) => list.length > 0) + 1);
   if (used.length > 0) {
-    return [named, queueMs, ...used];
+    return [signed, queueMs, ...used];
   }
-  return queueMs > 0 ? [named, queueMs] : [named];
+  return queueMs > 0 ? [signed, queueMs] : [signed];
 }
 
-/** Bounds what a head may grow to. */
+/** Limits the size of an inflated header. */
 const INFLATE_LIMIT = { maxOutputLength: MAX_FRAME_BYTES } as const;
 
-/** Puts frames together again from bytes as they come in. */
+/** Incremental decoder of frames. */
 export class RelayFrameReader {
   readonly #services: ReadonlyArray<string>;
-  #waiting: Buffer = Buffer.alloc(0);
+  #buffer: Buffer = Buffer.alloc(0);
 
   /**
-   * @param services - Services of the order, in its own sequence.
+   * @param services - Services of the relay request, in its order.
    */
   constructor(services: ReadonlyArray<string>) {
     this.#services = services;
   }
 
   /**
-   * Takes bytes.
+   * Decodes the frames completed by a chunk.
    *
-   * @param chunk - The bytes.
-   * @returns The parts of all frames that are whole now.
-   * @throws Where the bytes are no frame.
+   * @param chunk - The received bytes.
+   * @returns The parts of all completed frames.
+   * @throws If the bytes are not a valid frame.
    */
   read(chunk: Buffer): ReadonlyArray<RelayedParts> {
-    this.#waiting = Buffer.concat([this.#waiting, chunk]);
+    this.#buffer = Buffer.concat([this.#buffer, chunk]);
     const parts: Array<RelayedParts> = [];
     for (;;) {
       const next = this.#next();
@@ -109,45 +109,45 @@
 
   #next(): RelayedParts | undefined {
     const start = 2 * LENGTH_BYTES;
-    if (this.#waiting.length < start) {
+    if (this.#buffer.length < start) {
       return undefined;
     }
-    const told = this.#waiting.readUInt32BE(0);
-    const isDeflated = told >= DEFLATED_BIT;
-    const headBytes = isDeflated ? told - DEFLATED_BIT : told;
-    const recordBytes = this.#waiting.readUInt32BE(LENGTH_BYTES);
-    const end = start + headBytes + recordBytes;
+    const headerField = this.#buffer.readUInt32BE(0);
+    const isDeflated = headerField >= DEFLATED_BIT;
+    const headerBytes = isDeflated ? headerField - DEFLATED_BIT : headerField;
+    const recordBytes = this.#buffer.readUInt32BE(LENGTH_BYTES);
+    const end = start + headerBytes + recordBytes;
     if (end > MAX_FRAME_BYTES) {
-      throw new Error(`Cannot read a frame of ${end} bytes: it is too long`);
+      throw new Error(`Cannot read a frame of ${end} bytes: it exceeds the maximum length`);
     }
-    if (this.#waiting.length < end) {
+    if (this.#buffer.length < end) {
       return undefined;
     }
-    const head = this.#waiting.subarray(start, start + headBytes);
-    const plain = isDeflated ? inflateRawSync(head, INFLATE_LIMIT) : head;
-    const records = this.#waiting.subarray(start + headBytes, end);
-    this.#waiting = this.#waiting.subarray(end);
-    return this.#decode(JSON.parse(plain.toString("utf8")) as FrameHead, records);
+    const header = this.#buffer.subarray(start, start + headerBytes);
+    const plain = isDeflated ? inflateRawSync(header, INFLATE_LIMIT) : header;
+    const records = this.#buffer.subarray(start + headerBytes, end);
+    this.#buffer = this.#buffer.subarray(end);
+    return this.#decode(JSON.parse(plain.toString("utf8")) as FrameHeader, records);
   }
 
-  #decode([named, queueMs = 0, ...lists]: FrameHead, records: Buffer): RelayedParts {
+  #decode([signed, queueMs = 0, ...lists]: FrameHeader, records: Buffer): RelayedParts {
     const signatures = new Map<string, string>();
-    for (let index = 0; index + 1 < named.length; index += 2) {
-      signatures.set(this.#serviceAt(named[index]), String(named[index + 1]));
+    for (let index = 0; index + 1 < signed.length; index += 2) {
+      signatures.set(this.#serviceAt(signed[index]), String(signed[index + 1]));
     }
-    const lost = new Map<string, FailedPart>();
+    const failed = new Map<string, FailedPart>();
     for (const [index, reason] of REASONS.entries()) {
-      for (const place of lists[index] ?? []) {
-        lost.set(this.#serviceAt(place), reason);
+      for (const serviceIndex of lists[index] ?? []) {
+        failed.set(this.#serviceAt(serviceIndex), reason);
       }
     }
-    return { signatures, records, failed: lost, queueMs };
+    return { signatures, records, failed, queueMs };
   }
 
-  #serviceAt(place: number | string | undefined): string {
-    const service = this.#services[Number(place)];
+  #serviceAt(index: number | string | undefined): string {
+    const service = this.#services[Number(index)];
     if (service === undefined) {
-      throw new Error(`Cannot read a frame: the order has no service ${place}`);
+      throw new Error(`Cannot read a frame: the relay request has no service ${index}`);
     }
     return service;
   }
--- a/relay/relay_frames_test.ts
+++ b/relay/relay_frames_test.ts
@@ -23,7 +23,7 @@
   queueMs: fc.nat(1_000),
 });
 
-t.test("frames are read as they were written, however their bytes are cut", async (t) => {
+t.test("frames are decoded as encoded, regardless of chunk boundaries", async (t) => {
   fc.assert(
     fc.property(fc.array(PARTS, { maxLength: 4 }), fc.integer({ min: 1, max: 50 }), (all, cut) => {
       const bytes = Buffer.concat(all.map((parts) => encodeRelayFrame(parts, SERVICES)));
@@ -34,7 +34,7 @@
       }
       const plain = (parts: RelayedParts) => ({
         signatures: [...parts.signatures],
-        lost: [...parts.failed].toSorted(),
+        failed: [...parts.failed].toSorted(),
         records: parts.records.toString("hex"),
         queueMs: parts.queueMs,
       });
@@ -44,7 +44,7 @@
   );
 });
 
-t.test("bytes that are no frames end in parts or in an error, never in a service", async (t) => {
+t.test("arbitrary bytes yield parts of known services or an error", async (t) => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 300 }), (bytes) => {
       try {
@@ -61,7 +61,7 @@
   t.pass();
 });
 
-t.test("a frame longer than any query's parts is refused before it is held", async (t) => {
+t.test("a frame above the maximum length is rejected before it is buffered", async (t) => {
   const lengths = Buffer.from([0x7f, 0xff, 0xff, 0xff, 0, 0, 0, 0]);
   t.throws(() => new RelayFrameReader(SERVICES).read(lengths), {
     message: /Cannot read a frame of/,
--- a/relay/relay_fuzz_test.ts
+++ b/relay/relay_fuzz_test.ts
@@ -11,39 +11,36 @@
 
 const SPOILT = fc.oneof(spoiltValue(MERGED, 16), spoiltValue(SEPARATE, 16));
 
-function areTexts(values: ReadonlyArray<unknown>): boolean {
+function areStrings(values: ReadonlyArray<unknown>): boolean {
   return values.every((value) => typeof value === "string");
 }
 
-function isWhole(order: RelayRequest): boolean {
-  const { headers, leftMs, method, path, requestId, topRecords } = order;
+function isValid(request: RelayRequest): boolean {
+  const { headers, leftMs, method, path, requestId, topRecords } = request;
   const hasPairs = headers.length % 2 === 0;
-  const own = order.kind === "merged" ? [order.waitLimitMs] : [];
+  const own = request.kind === "merged" ? [request.waitLimitMs] : [];
   const services =
-    order.kind === "merged"
-      ? order.services
-      : order.calls.flatMap(({ service, leafId }) => [service, leafId]);
+    request.kind === "merged"
+      ? request.services
+      : request.calls.flatMap(({ service, leafId }) => [service, leafId]);
   const numbers = [leftMs, topRecords, ...own];
   const texts = [method, path, requestId, ...headers, ...services];
-  return hasPairs && areTexts(texts) && numbers.every((each) => Number.isFinite(each));
+  return hasPairs && areStrings(texts) && numbers.every((each) => Number.isFinite(each));
 }
 
-t.test(
-  "decodeOrder() gives an order whose fields are all what they should be, or none",
-  async (t) => {
-    fc.assert(
-      fc.property(SPOILT, (data) => {
-        const order = decodeRelayRequest(deflateRawSync(JSON.stringify(data)));
-        return order === undefined || isWhole(order);
-      }),
-      { numRuns: 3_000, seed: 29 },
-    );
-    t.pass("no order of other types came through");
-  },
-);
+t.test("decodeRelayRequest() returns a valid request or undefined", async (t) => {
+  fc.assert(
+    fc.property(SPOILT, (data) => {
+      const request = decodeRelayRequest(deflateRawSync(JSON.stringify(data)));
+      return request === undefined || isValid(request);
+    }),
+    { numRuns: 3_000, seed: 29 },
+  );
+  t.pass("no invalid request was accepted");
+});
 
-t.test("decodeOrder() reads what encodeOrder() wrote", async (t) => {
-  const request = {
+t.test("decodeRelayRequest() reverses encodeRelayRequest()", async (t) => {
+  const common = {
     requestId: "r",
     method: "GET",
     path: "/",
@@ -51,11 +48,11 @@
     topRecords: 1,
     leftMs: 9,
   };
-  const order = { kind: "merged", ...request, services: ["s"], waitLimitMs: 3 } as const;
-  t.same(decodeRelayRequest(encodeRelayRequest(order)), order);
+  const request = { kind: "merged", ...common, services: ["s"], waitLimitMs: 3 } as const;
+  t.same(decodeRelayRequest(encodeRelayRequest(request)), request);
 });
 
-t.test("a reader of frames holds no more than a frame, whatever bytes come", async (t) => {
+t.test("a frame reader accepts arbitrary bytes without unexpected exceptions", async (t) => {
   fc.assert(
     fc.property(fc.array(fc.uint8Array({ maxLength: 64 }), { maxLength: 20 }), (chunks) => {
       const reader = new RelayFrameReader(["s1", "s2"]);
@@ -70,5 +67,5 @@
     }),
     { numRuns: 2_000, seed: 29 },
   );
-  t.pass("each either waited for more or said what is wrong");
+  t.pass("each input was buffered or rejected with an error");
 });
--- a/relay/relay_request.ts
+++ b/relay/relay_request.ts
@@ -1,123 +1,122 @@
 /**
- * How boxes ask one another for parts: an order as a JSON list, deflated. It names no fields, as these
- * bytes pass between regions and each has its price.
+ * Wire format of relay requests: a deflated JSON array. Fields are identified by position to reduce traffic between regions.
  *
  * @module
  */
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 import * as z from "zod/mini";
 
-/** Longest order taken, in bytes; far above what callers' headers and a query's shards come to. */
-const MAX_ORDER_BYTES = 1_048_576;
+/** Maximum size of an inflated relay request, in bytes. */
+const MAX_REQUEST_BYTES = 1_048_576;
 
-/** The caller's request, as leafs are to see it. */
-interface OrderedRequest {
+/** The caller's request, as sent to the leafs. */
+interface ForwardedRequest {
   readonly requestId: string;
   readonly method: string;
   readonly path: string;
-  /** Headers that are passed on to leafs, names and values by turns. */
+  /** Headers to forward to leafs: names and values in alternation. */
   readonly headers: ReadonlyArray<string>;
   readonly topRecords: number;
-  /** Time left, in whole milliseconds. */
+  /** Remaining time until the deadline, in milliseconds (an integer). */
   readonly leftMs: number;
 }
 
-/** Asks for one part of each service, merged; the box picks the leafs. */
-export interface MergedRelayRequest extends OrderedRequest {
+/** Requests one part per service, merged; the relaying box selects the leafs. */
+export interface MergedRelayRequest extends ForwardedRequest {
   readonly kind: "merged";
   readonly services: ReadonlyArray<string>;
-  /** Longest time to wait before what has come in is handed over, in whole milliseconds. */
+  /** Maximum time before the first frame is sent, in milliseconds (an integer). */
   readonly waitLimitMs: number;
 }
 
-/** Asks the leafs named, and for each part by itself as soon as it is in. */
-export interface SeparateRelayRequest extends OrderedRequest {
+/** Requests parts from the given leafs, each sent as soon as it arrives. */
+export interface SeparateRelayRequest extends ForwardedRequest {
   readonly kind: "separate";
   readonly calls: ReadonlyArray<SeparateCall>;
-  /** Records below this one are not wanted. */
+  /** Records below this one are omitted. */
   readonly minRecord: Buffer | undefined;
 }
 
-/** One leaf that is to be asked. */
+/** A leaf to call. */
 export interface SeparateCall {
   readonly service: string;
   readonly leafId: string;
 }
 
-/** What a box asks another for. */
+/** A request from one box to another to call leafs. */
 export type RelayRequest = MergedRelayRequest | SeparateRelayRequest;
 
-/**
- * What an order must hold, in this sequence. A box that took it as it comes would end under one whose
- * values are of other types, and the box that asked would turn to the next.
- */
+/** Fields of a relay request, in this order. Validated so that a malformed request cannot crash the relaying box. */
 const REQUEST_FIELDS = [
-  z.string(), // id of the request
+  z.string(), // request ID
   z.string(), // method
   z.string(), // path
   z.array(z.string()).check(z.refine((headers) => headers.length % 2 === 0)),
-  z.int().check(z.minimum(0)), // records wanted
-  z.number(), // time left
+  z.int().check(z.minimum(0)), // maximum number of records
+  z.number(), // remaining time
   z.array(z.string()), // services
 ] as const;
 const MERGED_FIELDS = z.tuple([z.literal("merged"), ...REQUEST_FIELDS, z.number()]);
 const SEPARATE_FIELDS = z.tuple([
   z.literal("separate"),
   ...REQUEST_FIELDS,
-  z.array(z.string()), // leafs, one for each service
-  z.string(), // least record wanted
+  z.array(z.string()), // leaf IDs, one per service
+  z.string(), // minimum record
 ]);
-const ORDER_FIELDS = z.union([MERGED_FIELDS, SEPARATE_FIELDS]);
+const RELAY_REQUEST_FIELDS = z.union([MERGED_FIELDS, SEPARATE_FIELDS]);
 
-const ORDER_ENCODERS: {
+const ENCODERS: {
   readonly [K in RelayRequest["kind"]]: (
-    order: Extract<RelayRequest, { readonly kind: K }>,
+    request: Extract<RelayRequest, { readonly kind: K }>,
   ) => ReadonlyArray<unknown>;
 } = {
-  merged: ({ services, waitLimitMs: patienceMs }) => [services, patienceMs],
-  separate: ({ calls, minRecord: leastRecord }) => [
+  merged: ({ services, waitLimitMs }) => [services, waitLimitMs],
+  separate: ({ calls, minRecord }) => [
     calls.map(({ service }) => service),
     calls.map(({ leafId }) => leafId),
-    leastRecord?.toString("base64") ?? "",
+    minRecord?.toString("base64") ?? "",
   ],
 };
 
 /**
- * Writes an order.
+ * Encodes a relay request.
  *
- * @param order - The order.
- * @returns Its bytes.
+ * @param request - The relay request.
+ * @returns The encoded request.
  */
-export function encodeRelayRequest(order: RelayRequest): Buffer {
-  const { kind, requestId, method, path, headers, topRecords, leftMs } = order;
-  const encode = ORDER_ENCODERS[kind] as (order: RelayRequest) => ReadonlyArray<unknown>;
-  const fields = [kind, requestId, method, path, headers, topRecords, leftMs, ...encode(order)];
+export function encodeRelayRequest(request: RelayRequest): Buffer {
+  const { kind, requestId, method, path, headers, topRecords, leftMs } = request;
+  const encode = ENCODERS[kind] as (request: RelayRequest) => ReadonlyArray<unknown>;
+  const fields = [kind, requestId, method, path, headers, topRecords, leftMs, ...encode(request)];
   return deflateRawSync(JSON.stringify(fields));
 }
 
 /**
- * Lists the services that an order asks for; frames name them by their place.
+ * Lists the services of a relay request. Frames refer to them by index.
  *
- * @param order - The order.
- * @returns The services, in the order's own sequence.
+ * @param request - The relay request.
+ * @returns The services, in the order of the request.
  */
-export function servicesOf(order: RelayRequest): ReadonlyArray<string> {
-  return order.kind === "merged" ? order.services : order.calls.map(({ service }) => service);
+export function servicesOf(request: RelayRequest): ReadonlyArray<string> {
+  return request.kind === "merged" ? request.services : request.calls.map(({ service }) => service);
 }
 
-function mergedOrder(fields: z.infer<typeof MERGED_FIELDS>): MergedRelayRequest {
-  const [kind, requestId, method, path, headers, topRecords, leftMs, services, patienceMs] = fields;
+function mergedRequest(fields: z.infer<typeof MERGED_FIELDS>): MergedRelayRequest {
+  const [kind, requestId, method, path, headers, topRecords, leftMs, services, waitLimitMs] =
+    fields;
   const request = { requestId, method, path, headers, topRecords, leftMs };
-  return { kind, ...request, services, waitLimitMs: patienceMs };
+  return { kind, ...request, services, waitLimitMs };
 }
 
-function separateOrder(fields: z.infer<typeof SEPARATE_FIELDS>): SeparateRelayRequest | undefined {
+function separateRequest(
+  fields: z.infer<typeof SEPARATE_FIELDS>,
+): SeparateRelayRequest | undefined {
   const [kind, requestId, method, path, headers, topRecords, leftMs, services, ...rest] = fields;
-  const [leafIds, least] = rest;
+  const [leafIds, encodedMinRecord] = rest;
   if (leafIds.length !== services.length) {
     return undefined;
   }
-  const leastRecord = least === "" ? undefined : Buffer.from(least, "base64");
+  const minRecord = encodedMinRecord === "" ? undefined : Buffer.from(encodedMinRecord, "base64");
   const calls = services.map((service, index) => ({ service, leafId: leafIds[index] ?? "" }));
   return {
     kind,
@@ -128,25 +127,25 @@
     topRecords,
     leftMs,
     calls,
-    minRecord: leastRecord,
+    minRecord,
   };
 }
 
 /**
- * Reads an order.
+ * Decodes a relay request.
  *
- * @param body - Its bytes.
- * @returns The order, or nothing where it is none.
+ * @param body - The encoded request.
+ * @returns The request, or `undefined` if it is invalid.
  */
 export function decodeRelayRequest(body: Buffer): RelayRequest | undefined {
   try {
-    const plain = inflateRawSync(body, { maxOutputLength: MAX_ORDER_BYTES });
-    const fields = ORDER_FIELDS.safeParse(JSON.parse(plain.toString("utf8")));
+    const plain = inflateRawSync(body, { maxOutputLength: MAX_REQUEST_BYTES });
+    const fields = RELAY_REQUEST_FIELDS.safeParse(JSON.parse(plain.toString("utf8")));
     if (!fields.success) {
       return undefined;
     }
     const { data } = fields;
-    return data[0] === "merged" ? mergedOrder(data) : separateOrder(data);
+    return data[0] === "merged" ? mergedRequest(data) : separateRequest(data);
   } catch {
     return undefined;
   }
--- a/relay/relay_request_test.ts
+++ b/relay/relay_request_test.ts
@@ -12,7 +12,7 @@
   leftMs: 100,
 } as const;
 
-const ORDERS: ReadonlyArray<RelayRequest> = [
+const REQUESTS: ReadonlyArray<RelayRequest> = [
   { ...REQUEST, kind: "merged", services: ["s1", "s2"], waitLimitMs: 30 },
   { ...REQUEST, kind: "separate", calls: [], minRecord: undefined },
   {
@@ -23,24 +23,24 @@
   },
 ];
 
-t.test("decodeOrder() reads what encodeOrder() wrote", async (t) => {
-  for (const order of ORDERS) {
-    t.same(decodeRelayRequest(encodeRelayRequest(order)), order);
+t.test("decodeRelayRequest() reverses encodeRelayRequest()", async (t) => {
+  for (const request of REQUESTS) {
+    t.same(decodeRelayRequest(encodeRelayRequest(request)), request);
   }
 });
 
-t.test("decodeOrder() turns away what is no order", async (t) => {
+t.test("decodeRelayRequest() rejects invalid requests", async (t) => {
   for (const text of ["", "{}", "[]", "null", '["other","r","GET","/",[],1,1,[]]', '["merged"]']) {
     t.equal(decodeRelayRequest(Buffer.from(text)), undefined, text);
     t.equal(decodeRelayRequest(deflateRawSync(text)), undefined, `${text} deflated`);
   }
 });
 
-t.test("decodeOrder() turns away what would grow beyond bounds", async (t) => {
+t.test("decodeRelayRequest() rejects input that inflates beyond the limit", async (t) => {
   t.equal(decodeRelayRequest(deflateRawSync(Buffer.alloc(64 * 1_048_576, " "))), undefined);
 });
 
-t.test("decodeOrder() never fails, whatever bytes come in", async (t) => {
+t.test("decodeRelayRequest() does not throw on arbitrary bytes", async (t) => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), fc.boolean(), (bytes, isDeflated) => {
       const body = isDeflated ? deflateRawSync(Buffer.from(bytes)) : Buffer.from(bytes);
--- a/relay/relay_server.ts
+++ b/relay/relay_server.ts
@@ -1,5 +1,5 @@
 /**
- * Answers other boxes' orders for parts of leafs near this box.
+ * Server for relay requests of other boxes.
  *
  * @module
  */
@@ -9,26 +9,26 @@
 import { SeparateRelay } from "./_separate_relay.js";
 import { decodeRelayRequest, type RelayRequest } from "./relay_request.js";
 
-/** Path at which other boxes ask. */
+/** Path of relay requests. */
 export const RELAY_PATH = "/peer/v1/parts";
 
-const RELAYS: {
+const HANDLERS: {
   readonly [K in RelayRequest["kind"]]: (
-    order: Extract<RelayRequest, { readonly kind: K }>,
+    request: Extract<RelayRequest, { readonly kind: K }>,
     response: ServerResponse,
     options: RelayServerOptions,
   ) => Relay;
 } = {
-  merged: (order, response, options) => new MergedRelay(order, response, options),
-  separate: (order, response, options) => new SeparateRelay(order, response, options),
+  merged: (request, response, options) => new MergedRelay(request, response, options),
+  separate: (request, response, options) => new SeparateRelay(request, response, options),
 };
 
 /**
- * Answers another box's order.
+ * Handles a relay request.
  *
- * @param request - Its request.
- * @param response - Where the frames go.
- * @param options - What the server needs of its box.
+ * @param request - The HTTP request.
+ * @param response - The HTTP response that frames are written to.
+ * @param options - Options of the relay server.
  */
 export function handleRelayRequest(
   request: IncomingMessage,
@@ -38,25 +38,25 @@
   const chunks: Array<Buffer> = [];
   request.on("data", (chunk: Buffer) => chunks.push(chunk));
   request.on("end", () => {
-    const order = decodeRelayRequest(Buffer.concat(chunks));
-    if (order === undefined) {
+    const relayRequest = decodeRelayRequest(Buffer.concat(chunks));
+    if (relayRequest === undefined) {
       response.writeHead(400).end();
       return;
     }
-    beginFrames(response);
-    const make = RELAYS[order.kind] as (
-      order: RelayRequest,
+    startResponse(response);
+    const createRelay = HANDLERS[relayRequest.kind] as (
+      request: RelayRequest,
       response: ServerResponse,
       options: RelayServerOptions,
     ) => Relay;
-    const relay = make(order, response, options);
+    const relay = createRelay(relayRequest, response, options);
     response.on("close", () => relay.stop());
     relay.start();
   });
 }
 
-/** Without the headers that boxes do not need; the connection is kept all the same. */
-function beginFrames(response: ServerResponse): void {
+/** Starts the response without headers that boxes do not need. The connection stays open regardless. */
+function startResponse(response: ServerResponse): void {
   response.sendDate = false;
   response.removeHeader("connection");
   response.writeHead(200);
