--- a/admission/mod.ts
+++ b/admission/mod.ts
@@ -1,9 +1,9 @@
 /**
- * Admission: whether a request is begun at all, and when a refused caller may come back.
+ * Admission control: whether a request is accepted, and when a refused caller may retry.
  *
  * @module
  */
-export * from "./hopeless_query.js";
+export * from "./infeasible_query.js";
 export * from "./overload.js";
+export * from "./persistent_queue.js";
 export * from "./queue_allowance.js";
-export * from "./standing_queue.js";
--- /dev/null
+++ b/box/_make_auxiliary_servers.ts
@@ -0,0 +1,80 @@
+/**
+ * Creates the servers for readiness, directory, peers and metrics from the state of the box.
+ *
+ * @module
+ */
+import type { LeafCalls } from "../calls/mod.js";
+import { nowMs } from "../clock/mod.js";
+import type { ClusterState } from "../cluster_state/mod.js";
+import type { FleetView, RelayPlaces } from "../fleet/mod.js";
+import { eventLoopIdleMs } from "../latency/mod.js";
+import type { LeafAccess } from "../leaf_access/mod.js";
+import type { BoxSettings } from "../platform/mod.js";
+import type { Quarantine } from "../quarantine/mod.js";
+import { allowedRegionsOfHost } from "../routing/mod.js";
+import type { BoxTelemetry } from "../telemetry/mod.js";
+import {
+  createAuxiliaryServers,
+  type MetricsEndpoint,
+  type ServerAtPort,
+} from "./auxiliary_servers.js";
+import type { BoxLifecycle } from "./box_lifecycle.js";
+import type { BoxReport } from "./box_report.js";
+
+/** Maximum time to live of an address list, in milliseconds; the settings may lower it. */
+const MAX_ADDRESS_TTL_MS = 5_000;
+
+/** Options of {@link makeAuxiliaryServers}. */
+export interface MakeAuxiliaryServersOptions {
+  /** Returns the current settings; ports never change after startup. */
+  readonly settings: () => BoxSettings;
+  readonly lifecycle: Pick<BoxLifecycle, "phase">;
+  readonly view: Pick<FleetView, "resolveAddresses">;
+  readonly clusterState: Pick<ClusterState, "leafs" | "routes" | "sharedStateSince">;
+  readonly quarantine: Pick<Quarantine, "clear">;
+  readonly calls: LeafCalls;
+  readonly places: Pick<RelayPlaces, "distance">;
+  readonly access: LeafAccess;
+  readonly report: () => BoxReport;
+  readonly metrics: MetricsEndpoint | undefined;
+  readonly telemetry: Pick<BoxTelemetry, "metricsText" | "relayedParts">;
+}
+
+/**
+ * Creates the servers; none is listening yet.
+ *
+ * @param options - State that the servers read.
+ * @returns The servers with their ports.
+ */
+export function makeAuxiliaryServers(
+  options: MakeAuxiliaryServersOptions,
+): ReadonlyArray<ServerAtPort> {
+  const { access, calls, clusterState, lifecycle, metrics, places, quarantine } = options;
+  const { report, settings, telemetry, view } = options;
+  return createAuxiliaryServers({
+    settings: settings(),
+    isReady: () => lifecycle.phase === "ready",
+    resolveAddresses: ({ host, region }) => {
+      const { routes } = clusterState;
+      return view.resolveAddresses(
+        region,
+        routes === undefined ? [] : allowedRegionsOfHost(routes, host),
+      );
+    },
+    ttlMs: () => Math.min(MAX_ADDRESS_TTL_MS, settings().mostKeepMs),
+    report,
+    clearQuery: (fingerprint) => quarantine.clear(fingerprint),
+    stateSince: (progress) => clusterState.sharedStateSince(progress),
+    relay: {
+      nowMs,
+      eventLoopIdleMs,
+      calls,
+      leafs: () => clusterState.leafs,
+      distance: (leaf) => places.distance(leaf),
+      access,
+      onParts: (count) => telemetry.relayedParts.inc(count),
+    },
+    metrics,
+    metricsText: () => telemetry.metricsText(),
+  });
+}
--- a/box/_make_fleet_link.ts
+++ b/box/_make_fleet_link.ts
@@ -1,51 +1,52 @@
 /**
- * Makes a box's link to the others: what it learns from them goes to its knowledge, changes of boxes to
- * its view of the fleet.
+ * Creates a box's link to the other boxes. State received from them is merged into the cluster state, and
+ * membership changes update the fleet view.
  *
  * @module
  */
 
+import { type ClusterState, PeerCatchUp } from "../cluster_state/mod.js";
 import { FleetLink, type FleetView, selfMember } from "../fleet/mod.js";
-import { type BoxKnowledge, PeerCatchUp } from "../knowledge/mod.js";
 import type { Member } from "../model/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
 /**
- * Most queries under which leafs were lost that a datagram tells of, some 40 bytes each; with the members it
- * stays below what a link carries in one piece. Others follow with the next ones.
+ * Maximum number of crash-inducing queries in one datagram, so that it is not fragmented. The remaining ones
+ * follow in later datagrams.
  */
-const MOST_TOLD_QUERIES = 8;
+const MAX_QUERIES_PER_DATAGRAM = 8;
 
-/** What the link is made from. */
+/** Options of {@link makeFleetLink}. */
 export interface MakeFleetLinkOptions {
-  /** Settings in force; names and addresses are those of the start. */
+  /** Returns the current settings; names and addresses never change after startup. */
   readonly settings: () => BoxSettings;
   readonly nowMs: () => number;
-  readonly knowledge: BoxKnowledge;
+  readonly clusterState: ClusterState;
   readonly view: FleetView;
-  readonly isNear: (member: Member) => boolean;
-  readonly quarantine: Pick<Quarantine, "hear" | "tell">;
-  /** Told when a box has changed. */
-  readonly onMember: () => void;
+  readonly isLocal: (member: Member) => boolean;
+  readonly quarantine: Pick<Quarantine, "applyReports" | "selectReports">;
+  /** Called when the membership state of a box has changed. */
+  readonly onMemberChange: () => void;
   readonly telemetry: BoxTelemetry;
 }
 
 /**
- * Makes the link.
+ * Creates the link.
  *
- * @param options - What it is made from.
+ * @param options - State that the link reads and updates.
  * @returns The link, not yet open.
  */
 export function makeFleetLink(options: MakeFleetLinkOptions): FleetLink {
-  const { isNear, knowledge, nowMs, onMember, quarantine, settings, telemetry, view } = options;
+  const { isLocal, clusterState, nowMs, onMemberChange, quarantine, settings, telemetry, view } =
+    options;
   const { box, datagramPort } = settings();
   const catchUp = new PeerCatchUp({
     box,
-    knowledge,
-    isNear,
-    onFarNews: () => fleet.tell(view.others()),
+    clusterState,
+    isLocal,
+    onRemoteUpdate: () => fleet.sendUpdate(view.regionPeers()),
     telemetry,
   });
   const fleet: FleetLink = new FleetLink({
@@ -53,27 +54,27 @@
     seeds: () => seedAddresses(settings()),
     port: datagramPort,
     nowMs,
-    isNear,
-    progress: () => knowledge.progress,
-    onProgress: (member, progress) => catchUp.compare(member, progress),
-    crashes: () => quarantine.tell(MOST_TOLD_QUERIES),
-    onCrashes: (told, sender) => {
-      // The sender has told one box of this region.
-      if (quarantine.hear(told) && sender !== undefined && !isNear(sender)) {
-        fleet.tell(view.others());
+    isLocal,
+    progress: () => clusterState.progress,
+    onProgress: (member, progress) => catchUp.catchUp(member, progress),
+    crashes: () => quarantine.selectReports(MAX_QUERIES_PER_DATAGRAM),
+    onCrashes: (reported, sender) => {
+      // A box of another region sends an update to only one box of this region, which forwards it.
+      if (quarantine.applyReports(reported) && sender !== undefined && !isLocal(sender)) {
+        fleet.sendUpdate(view.regionPeers());
       }
     },
-    evacuations: () => knowledge.evacuationNews,
-    onEvacuations: (news, sender) => {
-      if (knowledge.hearEvacuations(news) && sender !== undefined && !isNear(sender)) {
-        fleet.tell(view.others());
+    evacuations: () => clusterState.evacuationUpdate,
+    onEvacuations: (updates, sender) => {
+      if (clusterState.mergeEvacuations(updates) && sender !== undefined && !isLocal(sender)) {
+        fleet.sendUpdate(view.regionPeers());
       }
     },
-    onMember: ({ box: member, state, incarnation }) => {
-      onMember();
+    onMemberChange: ({ box: member, state, incarnation }) => {
+      onMemberChange();
       telemetry.event("info", "fleet: box changed", { member, state, incarnation });
     },
-    onFault: (message) => telemetry.event("warn", "fleet: fault", { reason: message }),
+    onError: (message) => telemetry.event("warn", "fleet: fault", { reason: message }),
   });
   return fleet;
 }
--- a/box/_make_leaf_access.ts
+++ b/box/_make_leaf_access.ts
@@ -1,50 +1,51 @@
 /**
- * Makes a box's decision on which calls may go to which leafs.
+ * Creates the check of which calls a box may send to which leafs.
  *
  * @module
  */
+
+import type { ClusterState } from "../cluster_state/mod.js";
 import type { FleetView } from "../fleet/mod.js";
-import type { BoxKnowledge } from "../knowledge/mod.js";
 import { ColdLeafs, LeafAccess } from "../leaf_access/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 import type { Quarantine } from "../quarantine/mod.js";
 
-/** What the decision is tied to. */
+/** Options of {@link makeLeafAccess}. */
 export interface MakeLeafAccessOptions {
   readonly settings: BoxSettings;
   readonly nowMs: () => number;
-  readonly knowledge: () => Pick<BoxKnowledge, "evacuated" | "routes">;
-  readonly view: Pick<FleetView, "callersOfCold">;
-  readonly quarantine: Pick<Quarantine, "calling">;
+  readonly clusterState: () => Pick<ClusterState, "evacuated" | "routes">;
+  readonly view: Pick<FleetView, "coldLeafCallers">;
+  readonly quarantine: Pick<Quarantine, "permission">;
 }
 
-/** The decision, and the cold leafs that it rests on. */
-export interface MadeLeafAccess {
+/** The access check and the cold leafs that it consults. */
+export interface LeafAccessSetup {
   readonly access: LeafAccess;
-  readonly cold: ColdLeafs;
+  readonly coldLeafs: ColdLeafs;
 }
 
 /**
- * Makes the decision.
+ * Creates the access check.
  *
- * @param options - What it is tied to.
- * @returns The decision, and the cold leafs.
+ * @param options - State that the check reads.
+ * @returns The access check and the cold leafs that it consults.
  */
-export function makeLeafAccess(options: MakeLeafAccessOptions): MadeLeafAccess {
-  const { knowledge, nowMs, quarantine, settings, view } = options;
-  const cold = new ColdLeafs({
+export function makeLeafAccess(options: MakeLeafAccessOptions): LeafAccessSetup {
+  const { clusterState, nowMs, quarantine, settings, view } = options;
+  const coldLeafs = new ColdLeafs({
     nowMs,
     box: settings.box,
-    termsOf: (service) => knowledge().routes?.termsByService.get(service),
+    warmupTermsOf: (service) => clusterState().routes?.termsByService.get(service),
     tolerance: { factor: settings.coldOverage, slackCalls: settings.coldSlackCalls },
-    callersOf: (dataCentre) => view.callersOfCold(dataCentre),
+    callingBoxesOf: (dataCentre) => view.coldLeafCallers(dataCentre),
   });
   const access = new LeafAccess({
-    routes: () => knowledge().routes,
+    routes: () => clusterState().routes,
     regionOf: (dataCentre) => settings.regions.get(dataCentre) ?? dataCentre,
-    evacuated: () => knowledge().evacuated,
-    cold,
+    evacuated: () => clusterState().evacuated,
+    coldLeafs,
     quarantine,
   });
-  return { access, cold };
+  return { access, coldLeafs };
 }
--- /dev/null
+++ b/box/_run_context.ts
@@ -0,0 +1,166 @@
+/**
+ * The state of the box that the decisions of one request read: leafs, boxes, quarantine and extra calls.
+ *
+ * @module
+ */
+import { type BlockReason, describeBlockReason } from "../leaf_access/mod.js";
+import { chooseLeaf, type Leaf, type LeafChoiceContext, type Placement } from "../leafs/mod.js";
+import type { ExtraCallKind } from "../limits/mod.js";
+import type { Member } from "../model/mod.js";
+import type { CallPermission } from "../quarantine/mod.js";
+import type { BoxChoice, LeafChoice, RequestContext } from "../request/mod.js";
+import type { RouteKey } from "../routing/mod.js";
+import type { RunnerOptions } from "./_runner_options.js";
+
+/** The request for which decisions are made. */
+export interface RunContextOptions {
+  /** Hash of the request's content, equal for identical queries. */
+  readonly fingerprint: string;
+  /** Host and path from which the route is determined. */
+  readonly routeKey: RouteKey;
+  /** Latency objective, in milliseconds. */
+  readonly objectiveMs: number;
+  /** Placement of calls that the policy selected. */
+  readonly placement: Placement;
+}
+
+/** Maximum number of blocked shards in a request's log line. */
+const MAX_BLOCKED_SHARDS = 20;
+
+/** State of the box as seen by one request. */
+export class RunContext implements RequestContext {
+  /** Time of the event being processed, in milliseconds. */
+  nowMs = 0;
+  eventLoopIdleMs = 0;
+  /** Reasons why no leaf of a shard could be called, by service. */
+  readonly blockedShards = new Map<string, string>();
+  readonly #box: RunnerOptions;
+  readonly #placement: Placement;
+  readonly #fingerprint: string;
+  readonly #objectiveMs: number;
+  readonly #chosenBoxes = new Map<string, Member>();
+  readonly #health: LeafChoiceContext["health"];
+  readonly #distance: LeafChoiceContext["distance"];
+  readonly #reportedQueueMs: (leaf: Leaf) => number;
+  readonly #mayCall: (leaf: Leaf) => boolean;
+  readonly #isCold: (leafId: string) => boolean;
+  /** Reasons found in the current selection why leafs may not be called. */
+  #blockReasons: ReadonlyArray<BlockReason> = [];
+  /** Queue time at the leafs of each place, in milliseconds, cached on first use so that it stays constant. */
+  readonly #queuesMs = new Map<string, number>();
+
+  /**
+   * @param box - Dependencies that the box provides.
+   * @param options - The request.
+   */
+  constructor(box: RunnerOptions, options: RunContextOptions) {
+    const { fingerprint, objectiveMs, placement, routeKey } = options;
+    this.#box = box;
+    this.#fingerprint = fingerprint;
+    this.#placement = placement;
+    this.#objectiveMs = objectiveMs;
+    this.#health = (leafId) => box.calls.health(leafId);
+    this.#distance = (leaf) => box.places.distance(leaf);
+    this.#reportedQueueMs = (leaf) => this.#queueMsAt(box.places.placeOf(leaf));
+    this.#isCold = (leafId) => box.access.isCold(leafId);
+    this.#mayCall = (leaf) => {
+      const blockReason = box.access.blockReasonForLeaf(leaf, routeKey);
+      if (blockReason !== undefined) {
+        this.#blockReasons = [...this.#blockReasons, blockReason];
+      }
+      return blockReason === undefined;
+    };
+  }
+
+  /**
+   * Returns a box that was selected before.
+   *
+   * @param box - Name of the box.
+   * @returns The box, or `undefined` if it was not selected.
+   */
+  chosenBox(box: string): Member | undefined {
+    return this.#chosenBoxes.get(box);
+  }
+
+  chooseLeaf(service: string, excluded: ReadonlySet<string>): LeafChoice | undefined {
+    const { leafs, places } = this.#box;
+    this.#blockReasons = [];
+    const chosen = chooseLeaf(leafs().byService.get(service) ?? [], {
+      nowMs: this.nowMs,
+      eventLoopIdleMs: this.eventLoopIdleMs,
+      health: this.#health,
+      distance: this.#distance,
+      excluded,
+      isCallable: this.#mayCall,
+      isCold: this.#isCold,
+      objectiveMs: this.#objectiveMs,
+      reportedQueueMs: this.#reportedQueueMs,
+      placement: this.#placement,
+    });
+    if (chosen === undefined) {
+      this.#recordBlocked(service);
+      return undefined;
+    }
+    const { leaf, failureRate, queueMs, typicalLatencyMs } = chosen;
+    const relayPlace = places.placeOf(leaf);
+    return {
+      leafId: leaf.leafId,
+      expectedMs: typicalLatencyMs,
+      relayPlace,
+      queueMs,
+      failureRate,
+    };
+  }
+
+  chooseBox(relayPlace: string): BoxChoice | undefined {
+    const { places, relays } = this.#box;
+    const chosen = relays.choose(places.boxesAt(relayPlace));
+    if (chosen === undefined) {
+      return undefined;
+    }
+    const { member, typicalLatencyMs } = chosen;
+    this.#chosenBoxes.set(member.memberId, member);
+    return { box: member.memberId, expectedMs: typicalLatencyMs };
+  }
+
+  #recordBlocked(service: string): void {
+    if (this.#blockReasons.length > 0 && this.blockedShards.size < MAX_BLOCKED_SHARDS) {
+      const reasons = new Set(this.#blockReasons.map(describeBlockReason));
+      this.blockedShards.set(service, [...reasons].join("; "));
+    }
+  }
+
+  #queueMsAt(place: string | undefined): number {
+    if (place === undefined) {
+      return 0;
+    }
+    const { places, relays } = this.#box;
+    const queueMs = this.#queuesMs.get(place) ?? relays.queueMs(places.boxesAt(place));
+    this.#queuesMs.set(place, queueMs);
+    return queueMs;
+  }
+
+  calling(): CallPermission {
+    return this.#box.quarantine.permission(this.#fingerprint);
+  }
+
+  beginTrial(): void {
+    this.#box.quarantine.beginTrial(this.#fingerprint);
+  }
+
+  blockedForMs(): number {
+    return this.#box.quarantine.retryAfterMs(this.#fingerprint);
+  }
+
+  noteQueue(index: string, queueMs: number): number {
+    return this.#box.noteQueue(index, queueMs);
+  }
+
+  extraCallsLeft(service: string): number {
+    return this.#box.extraCallsLeft(service);
+  }
+
+  takeExtraCall(service: string, kind: ExtraCallKind): boolean {
+    return this.#box.takeExtraCall(service, kind);
+  }
+}
--- a/box/box_shell.ts
+++ b/box/box_shell.ts
@@ -1,15 +1,15 @@
 /**
- * One box: takes callers' requests, asks leafs, and keeps up with the store and the other boxes.
+ * One box: answers callers' requests by calling leafs, and follows the state of the store and the other boxes.
  *
  * @module
  */
 import type { Server } from "node:http";
 import { LeafCalls } from "../calls/mod.js";
 import { BOX_CLOCK, nowMs } from "../clock/mod.js";
+import { ClusterState, QuarantineArchive, watchWaitMs } from "../cluster_state/mod.js";
 import type { ExtraCallBudgets } from "../extra_calls/mod.js";
 import { type FleetLink, FleetView, RelayPlaces } from "../fleet/mod.js";
-import { BoxKnowledge, QuarantineArchive, watchWaitMs } from "../knowledge/mod.js";
-import { waitedMs } from "../latency/mod.js";
+import { eventLoopIdleMs } from "../latency/mod.js";
 import type { ColdLeafs } from "../leaf_access/mod.js";
 import type { Member } from "../model/mod.js";
 import { type BoxSettings, StoreClient } from "../platform/mod.js";
@@ -17,42 +17,39 @@
 import { RelayCalls } from "../relay/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 import { listen } from "./_listen.js";
+import { makeAuxiliaryServers } from "./_make_auxiliary_servers.js";
 import { makeBudgets } from "./_make_budgets.js";
 import { makeFleetLink } from "./_make_fleet_link.js";
-import { makeIntake } from "./_make_intake.js";
 import { makeLeafAccess } from "./_make_leaf_access.js";
 import { makeQuarantine } from "./_make_quarantine.js";
+import { makeRequestHandler } from "./_make_request_handler.js";
 import { makeRunner } from "./_make_runner.js";
-import { makeSideServers } from "./_make_side_servers.js";
 import { AdaptiveTimer } from "./adaptive_timer.js";
-import { BoxLife } from "./box_life.js";
-import { type BoxReport, reportBox } from "./box_report.js";
-import { callerServer, keepIdleCallers } from "./caller_server.js";
+import type { MetricsEndpoint, ServerAtPort } from "./auxiliary_servers.js";
+import { BoxLifecycle } from "./box_lifecycle.js";
+import { type BoxReport, buildBoxReport } from "./box_report.js";
+import { createCallerServer, setKeepAliveTimeouts } from "./caller_server.js";
 import type { RequestRunner } from "./request_runner.js";
 import type { CompiledPolicies } from "./route_policies.js";
-import type { MetricsPlace, ServerAtPort } from "./side_servers.js";
-import { takeTimeJump } from "./time_jump.js";
+import { handleTimeJump } from "./time_jump.js";
 
-/** Time between two looks at what is overdue while calls are open or boxes change, in milliseconds. */
-const TIDY_EVERY_MS = 200;
+/** Interval of checks for overdue calls and expired state while the box is active, in milliseconds. */
+const CLEANUP_INTERVAL_MS = 200;
 
-/**
- * The same on a box that stands by, where nothing can be overdue: of its 18 wake-ups a second 5 were for
- * looks that found nothing.
- */
-const TIDY_IDLE_EVERY_MS = 1_000;
+/** The same interval on a standby box, in milliseconds. */
+const STANDBY_CLEANUP_INTERVAL_MS = 1_000;
 
-/** Bodies taken before a configuration sets the limit, in bytes. */
+/** Maximum size of request bodies until a configuration sets the limit, in bytes. */
 const DEFAULT_MAX_BODY_BYTES = 262_144;
 
-/** What a box is started with. */
+/** Options of {@link Box}. */
 export interface BoxOptions {
   readonly settings: BoxSettings;
   readonly telemetry: BoxTelemetry;
-  /** Operators' policy programs; nothing where the routes' own terms decide alone. */
+  /** Operators' policy programs; `undefined` if only the routes' own settings apply. */
   readonly policies: CompiledPolicies | undefined;
-  /** Where metrics are served; nothing for nowhere. */
-  readonly metrics: MetricsPlace | undefined;
+  /** Where metrics are served; `undefined` to serve none. */
+  readonly metrics: MetricsEndpoint | undefined;
   /** Called when a planned stop is complete. */
   readonly onEnd: () => void;
 }
@@ -63,13 +60,13 @@
   readonly #telemetry: BoxTelemetry;
   readonly #onEnd: () => void;
   readonly #store: StoreClient;
-  readonly #knowledge: BoxKnowledge;
+  readonly #clusterState: ClusterState;
   readonly #calls: LeafCalls;
-  readonly #cold: ColdLeafs;
+  readonly #coldLeafs: ColdLeafs;
   readonly #relays = new RelayCalls({
     nowMs,
-    waitedMs,
-    onBusy: () => this.#tidyTimer.hurry(),
+    eventLoopIdleMs,
+    onActive: () => this.#cleanupTimer.wake(),
   });
   readonly #quarantine: Quarantine;
   readonly #archive: QuarantineArchive;
@@ -79,84 +76,84 @@
   readonly #callerServer: Server;
   readonly #servers: ReadonlyArray<ServerAtPort>;
   readonly #view: FleetView;
-  readonly #life: BoxLife;
-  readonly #tidyTimer = new AdaptiveTimer({
-    busyMs: TIDY_EVERY_MS,
-    idleMs: TIDY_IDLE_EVERY_MS,
+  readonly #lifecycle: BoxLifecycle;
+  readonly #cleanupTimer = new AdaptiveTimer({
+    busyIntervalMs: CLEANUP_INTERVAL_MS,
+    idleIntervalMs: STANDBY_CLEANUP_INTERVAL_MS,
     isBusy: () => this.#isBusy(),
-    run: () => this.#tidy(),
+    run: () => this.#cleanUp(),
   });
 
   /**
-   * @param options - What the box is started with.
+   * @param options - Settings, telemetry and policies of the box.
    */
   constructor({ settings, telemetry, policies, metrics, onEnd }: BoxOptions) {
     this.#settings = settings;
     this.#telemetry = telemetry;
     this.#onEnd = onEnd;
-    this.#life = new BoxLife({
+    this.#lifecycle = new BoxLifecycle({
       telemetry,
       runningCount: () => this.#runner.runningCount,
       onLeaving: () => this.#leave(),
-      onFinishing: () => this.#takeNoMore(),
-      onEnd: () => this.#end(),
+      onFinishing: () => this.#stopAccepting(),
+      onEnd: () => this.#completeStop(),
     });
     this.#store = new StoreClient(settings.store);
     this.#view = new FleetView({
       settings: () => this.#settings,
       members: () => this.#fleet.members(),
       alive: () => this.#fleet.alive(),
-      unheardForMs: () => this.#fleet.unheardForMs,
+      sinceLastContactMs: () => this.#fleet.sinceLastContactMs,
     });
-    this.#knowledge = new BoxKnowledge({
+    this.#clusterState = new ClusterState({
       store: this.#store,
       waitMs: watchWaitMs(settings),
       telemetry,
       nowMs,
-      onConfiguration: () => this.#configured(),
+      onConfiguration: () => this.#onConfiguration(),
       onLeafs: () => {
-        this.#calls.setKnown(this.#knowledge.leafs.byId);
-        this.#cold.setKnown(this.#knowledge.leafs.byId);
-        this.#learned();
+        this.#calls.setLeafs(this.#clusterState.leafs.byId);
+        this.#coldLeafs.setLeafs(this.#clusterState.leafs.byId);
+        this.#onStateChange();
       },
-      onOlderStore: () => void this.#archive.keepAgain(this.#quarantine.records()),
-      hasEvacuations: settings.hasEvacuations,
-      onEvacuations: (usedAgain) => this.#evacuated(usedAgain),
+      onStoreRestored: () => void this.#archive.rewrite(this.#quarantine.records()),
+      isEvacuationEnabled: settings.hasEvacuations,
+      onEvacuations: (usedAgain) => this.#onEvacuations(usedAgain),
     });
     this.#archive = new QuarantineArchive({
       store: this.#store,
       nowMs,
       nowEpochMs: () => Date.now(),
-      onFound: (told) => this.#quarantine.hear(told),
+      onLoaded: (reported) => this.#quarantine.applyReports(reported),
       telemetry,
     });
     this.#quarantine = makeQuarantine({
       box: settings.box,
       nowMs,
-      serving: () => this.#view.servingEverywhere(),
+      servingBoxes: () => this.#view.allServingBoxes(),
       calls: () => this.#calls,
-      tell: () => this.#fleet.tell(this.#view.hearers()),
-      keep: (record, before) => void this.#archive.note(record, before),
+      notifyBoxes: () => this.#fleet.sendUpdate(this.#view.updateRecipients()),
+      persist: (record, before) => void this.#archive.recordChange(record, before),
       telemetry,
     });
-    const { access, cold } = makeLeafAccess({
+    const { access, coldLeafs } = makeLeafAccess({
       settings,
       nowMs,
-      knowledge: () => this.#knowledge,
+      clusterState: () => this.#clusterState,
       view: this.#view,
       quarantine: this.#quarantine,
     });
-    this.#cold = cold;
+    this.#coldLeafs = coldLeafs;
     this.#calls = new LeafCalls({
       quarantine: this.#quarantine,
       access,
       nowMs,
-      waitedMs,
-      connectionsTo: (service) => {
-        const terms = this.#knowledge.routes?.termsByService.get(service);
+      eventLoopIdleMs,
+      maxConnectionsTo: (service) => {
+        const terms = this.#clusterState.routes?.termsByService.get(service);
         return this.#view.connectionShare(terms?.maxConnections || Number.POSITIVE_INFINITY);
       },
-      onBusy: () => this.#tidyTimer.hurry(),
+      onBusy: () => this.#cleanupTimer.wake(),
       onEnd: (result) => telemetry.attempts.add(result),
     });
     this.#budgets = makeBudgets({ settings: () => this.#settings, view: this.#view, nowMs });
@@ -167,9 +164,9 @@
     });
     this.#runner = makeRunner({
       nowMs,
-      waitedMs,
+      eventLoopIdleMs,
       calls: this.#calls,
-      leafs: () => this.#knowledge.leafs,
+      leafs: () => this.#clusterState.leafs,
       places,
       relays: this.#relays,
       budgets: this.#budgets,
@@ -177,44 +174,44 @@
       access,
       telemetry,
     });
-    const isNear = ({ dataCentre }: Member): boolean => places.isNear(dataCentre);
+    const isLocal = ({ dataCentre }: Member): boolean => places.isLocal(dataCentre);
     this.#fleet = makeFleetLink({
       settings: () => this.#settings,
       nowMs,
-      knowledge: this.#knowledge,
+      clusterState: this.#clusterState,
       view: this.#view,
-      isNear,
+      isLocal,
       quarantine: this.#quarantine,
-      onMember: () => {
-        this.#view.changed();
-        this.#tidyTimer.hurry();
+      onMemberChange: () => {
+        this.#view.invalidate();
+        this.#cleanupTimer.wake();
       },
       telemetry,
     });
-    const intake = makeIntake({
+    const requestHandler = makeRequestHandler({
       nowMs,
-      knowledge: this.#knowledge,
+      clusterState: this.#clusterState,
       telemetry,
       runner: this.#runner,
       programs: policies,
       countBoxes: () => this.#view.countBoxes(),
     });
-    this.#callerServer = callerServer({
+    this.#callerServer = createCallerServer({
       nowMs,
       maxBodyBytes: () => {
-        const limits = this.#knowledge.routes?.configuration.callerLimits;
+        const limits = this.#clusterState.routes?.configuration.callerLimits;
         return limits?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
       },
-      isLeaving: () => this.#life.phase !== "ready",
-      onRequest: (arrived, answer) => intake.take(arrived, answer),
+      isLeaving: () => this.#lifecycle.phase !== "ready",
+      onRequest: (incoming, sendReply) => requestHandler.handle(incoming, sendReply),
     });
     this.#servers = [
       { server: this.#callerServer, port: settings.callers.port },
-      ...makeSideServers({
+      ...makeAuxiliaryServers({
         settings: () => this.#settings,
-        life: this.#life,
+        lifecycle: this.#lifecycle,
         view: this.#view,
-        knowledge: this.#knowledge,
+        clusterState: this.#clusterState,
         quarantine: this.#quarantine,
         calls: this.#calls,
         places,
@@ -226,30 +223,30 @@
     ];
   }
 
-  /** Opens all ports and begins to watch the store. */
+  /** Starts all servers and begins to watch the store. */
   async start(): Promise<void> {
     const { address } = this.#settings;
-    const told = {
+    const jumpListeners = {
       fleet: this.#fleet,
       view: this.#view,
       runner: this.#runner,
       telemetry: this.#telemetry,
     };
-    // Not while a moment is being told.
-    BOX_CLOCK.listen((jump) => queueMicrotask(() => takeTimeJump(jump, told)));
-    this.#knowledge.start();
+    // Deferred, because the clock must not be read again from within one of its reads.
+    BOX_CLOCK.setJumpListener((jump) => queueMicrotask(() => handleTimeJump(jump, jumpListeners)));
+    this.#clusterState.start();
     await Promise.all(this.#servers.map(({ server, port }) => listen(server, { address, port })));
     await this.#fleet.start();
-    this.#tidyTimer.start();
-    this.#archive.loadSoon(() => this.#view.watchesStore());
+    this.#cleanupTimer.start();
+    this.#archive.scheduleLoad(() => this.#view.watchesStore());
     this.#telemetry.event("info", "box: started", { startMs: Math.round(performance.now()) });
   }
 
   /**
-   * Takes in changed settings: seeds and bounds hold from now on; addresses and names stay as they
-   * are until the next start.
+   * Applies changed settings. Seeds and limits take effect immediately; addresses and names keep their values
+   * until the next start.
    *
-   * @param settings - The settings as they are now.
+   * @param settings - The new settings.
    */
   reload(settings: BoxSettings): void {
     const before = this.#settings;
@@ -258,96 +255,103 @@
     const budgets = { extraCallShare, extraCallSlack, extraCallWindowMs };
     const changed = { seeds, mostKeepMs, stopGraceMs, ...budgets };
     this.#settings = { ...before, ...changed };
-    this.#view.changed();
+    this.#view.invalidate();
     this.#telemetry.event("info", "box: reloaded", changed);
   }
 
-  /** Begins a planned stop: no longer advised, serves on, finishes what it took, ends. */
+  /** Begins a planned stop: leaves the address lists, completes open requests, then exits. */
   stop(): void {
-    this.#life.stop(this.#settings.stopGraceMs);
+    this.#lifecycle.stop(this.#settings.stopGraceMs);
   }
 
   #leave(): void {
-    this.#fleet.declare("leaving");
-    this.#view.changed();
+    this.#fleet.announceState("leaving");
+    this.#view.invalidate();
   }
 
-  #takeNoMore(): void {
+  #stopAccepting(): void {
     this.#callerServer.close();
     this.#callerServer.closeIdleConnections();
   }
 
   #report(): BoxReport {
-    return reportBox({
+    return buildBoxReport({
       box: this.#settings.box,
-      phase: this.#life.phase,
-      knowledge: this.#knowledge,
-      condition: (leafId) => this.#calls.condition(leafId),
-      isCold: (leafId) => this.#cold.isCold(leafId),
+      phase: this.#lifecycle.phase,
+      clusterState: this.#clusterState,
+      healthOf: (leafId) => this.#calls.health(leafId),
+      isCold: (leafId) => this.#coldLeafs.isCold(leafId),
       runningCount: this.#runner.runningCount,
       members: this.#fleet.members(),
-      extraCallsLeft: this.#budgets.left(),
+      extraCallsLeft: this.#budgets.remainingByService(),
       crashRecords: this.#quarantine.records(),
       nowMs: nowMs(),
     });
   }
 
-  #end(): void {
+  #completeStop(): void {
     const open = this.#runner.answerAll();
-    this.#tidyTimer.stop();
+    this.#cleanupTimer.stop();
     this.#archive.stop();
-    this.#knowledge.stop();
+    this.#clusterState.stop();
     this.#fleet.stop();
     this.#telemetry.event("info", "box: stopped", { open });
     void this.#telemetry.flush().then(() => this.#onEnd());
   }
 
-  #configured(): void {
-    const limits = this.#knowledge.routes?.configuration.callerLimits;
+  #onConfiguration(): void {
+    const limits = this.#clusterState.routes?.configuration.callerLimits;
     if (limits !== undefined) {
-      keepIdleCallers(this.#callerServer, limits);
+      setKeepAliveTimeouts(this.#callerServer, limits);
     }
-    this.#learned();
+    this.#onStateChange();
   }
 
-  /** Takes work once all that is needed is known, and tells the boxes that hear from this one. */
-  #learned(): void {
-    if (this.#knowledge.isComplete && this.#life.phase === "starting") {
-      this.#life.configured();
-      this.#fleet.declare("alive");
-      this.#view.changed();
+  /** Becomes ready once the state is complete, and notifies the boxes that receive updates from this one. */
+  #onStateChange(): void {
+    if (this.#clusterState.isComplete && this.#lifecycle.phase === "starting") {
+      this.#lifecycle.markConfigured();
+      this.#fleet.announceState("alive");
+      this.#view.invalidate();
     }
-    if (this.#knowledge.isWatcher) {
-      this.#fleet.tell(this.#view.hearers());
+    if (this.#clusterState.isWatcher) {
+      this.#fleet.sendUpdate(this.#view.updateRecipients());
     }
   }
 
-  /** Tells the boxes that hear from this one of what is emptied; what was empty is cold by now. */
-  #evacuated(usedAgain: ReadonlyArray<string>): void {
-    const rested = [...this.#knowledge.leafs.byId.values()].filter(({ dataCentre }) => {
+  /**
+   * Notifies the boxes that receive updates from this one; leafs of data centres that are in use again are
+   * marked cold.
+   */
+  #onEvacuations(usedAgain: ReadonlyArray<string>): void {
+    const reused = [...this.#clusterState.leafs.byId.values()].filter(({ dataCentre }) => {
       return usedAgain.includes(dataCentre);
     });
-    this.#cold.noteRested(rested);
-    if (this.#knowledge.isWatcher) {
-      this.#fleet.tell(this.#view.hearers());
+    this.#coldLeafs.markCold(reused);
+    if (this.#clusterState.isWatcher) {
+      this.#fleet.sendUpdate(this.#view.updateRecipients());
     }
   }
 
-  /** Whether something may be overdue before a box that stands by would look. */
+  /** Whether anything may become overdue within the standby interval. */
   #isBusy(): boolean {
-    const isWaiting = this.#calls.openCount + this.#relays.openCount > 0;
-    return isWaiting || !this.#knowledge.isComplete || this.#knowledge.leafs.dropAtMs.size > 0;
+    const hasOpenCalls = this.#calls.openCount + this.#relays.openCount > 0;
+    return (
+      hasOpenCalls ||
+      !this.#clusterState.isComplete ||
+      this.#clusterState.leafs.expiresAtMs.size > 0
+    );
   }
 
-  #tidy(): void {
-    BOX_CLOCK.look();
-    this.#calls.dropOverdue();
-    this.#relays.dropOverdue();
-    this.#knowledge.dropOverdue();
-    // One that leaves is told of nothing any more and goes on by itself.
-    const isWatcher = this.#life.isStopping || this.#view.watchesStore();
-    this.#knowledge.setWatcher(isWatcher);
-    const answeredAgoMs = this.#knowledge.storeAnsweredAgoMs;
-    this.#telemetry.noteStore({ calls: this.#store.calls, answeredAgoMs });
+  #cleanUp(): void {
+    BOX_CLOCK.checkBootClock();
+    this.#calls.abandonOverdue();
+    this.#relays.abortOverdue();
+    this.#clusterState.dropExpired();
+    // A stopping box no longer receives updates from others, so it watches the store itself.
+    const isWatcher = this.#lifecycle.isStopping || this.#view.watchesStore();
+    this.#clusterState.setWatcher(isWatcher);
+    const answeredAgoMs = this.#clusterState.storeAnsweredAgoMs;
+    this.#telemetry.setStoreStats({ calls: this.#store.calls, answeredAgoMs });
   }
 }
--- /dev/null
+++ b/box/request_handler.ts
@@ -0,0 +1,190 @@
+/**
+ * Handles callers' requests: finds the route, applies the policies, runs the request and logs the outcome.
+ *
+ * @module
+ */
+
+import type { ClusterState } from "../cluster_state/mod.js";
+import type { Reply } from "../request/mod.js";
+import { findRoute, type Route, type ServiceCredits, selectService } from "../routing/mod.js";
+import type { BoxTelemetry, LogFields } from "../telemetry/mod.js";
+import type { IncomingRequest, ReplyCallback } from "./caller_server.js";
+import type { RequestRunner, RequestSummary } from "./request_runner.js";
+import { requestTerms } from "./request_terms.js";
+import type { Admission, RoutePolicies } from "./route_policies.js";
+
+/** Time after which a caller may retry while no configuration is known, in milliseconds. */
+const STARTING_RETRY_MS = 300;
+
+/** Options of {@link RequestHandler}. */
+export interface RequestHandlerOptions {
+  readonly nowMs: () => number;
+  readonly clusterState: ClusterState;
+  readonly telemetry: BoxTelemetry;
+  readonly runner: RequestRunner;
+  readonly policies: RoutePolicies;
+  /** Returns the number of boxes that share callers' rate limits. */
+  readonly countBoxes: () => number;
+}
+
+/** Handles requests. */
+export class RequestHandler {
+  readonly #options: RequestHandlerOptions;
+  readonly #serviceCredits = new Map<string, ServiceCredits>();
+
+  /**
+   * @param options - Dependencies of the handler.
+   */
+  constructor(options: RequestHandlerOptions) {
+    this.#options = options;
+  }
+
+  /**
+   * Handles a request.
+   *
+   * @param incoming - The complete request.
+   * @param sendReply - Called once with the reply, unless the caller disconnects first.
+   * @returns Function to call if the caller disconnects before the reply.
+   */
+  handle(incoming: IncomingRequest, sendReply: ReplyCallback): () => void {
+    const routes = this.#options.clusterState.routes;
+    if (routes === undefined) {
+      this.#options.telemetry.logRequest("request: not run, no configuration yet", {
+        requestId: incoming.terms.requestId,
+        isStoreReachable: this.#options.clusterState.isStoreReachable,
+      });
+      sendReply({
+        kind: "notRun",
+        reason: "no configuration is known yet",
+        retryAfterMs: STARTING_RETRY_MS,
+      });
+      return () => undefined;
+    }
+    const { host, forwarded } = incoming;
+    const route = findRoute(routes, { host, path: forwarded.path });
+    if (route === undefined) {
+      this.#options.telemetry.logRequest("request: no route", {
+        requestId: incoming.terms.requestId,
+        host,
+        path: forwarded.path,
+        version: routes.configuration.version,
+      });
+      sendReply({ kind: "noRoute" });
+      return () => undefined;
+    }
+    const admission = this.#admit(incoming, route);
+    const maxQueueMs = routes.queueAllowancesMs.get(route.name) ?? Number.POSITIVE_INFINITY;
+    const terms = requestTerms(incoming, route, { ...admission, maxQueueMs });
+    if (admission.refusal !== "") {
+      const { refusal, retryAfterMs } = admission;
+      this.#options.telemetry.requests.inc({ route: route.name, outcome: "refused" });
+      this.#options.telemetry.logRequest("request: refused by policy", {
+        requestId: terms.requestId,
+        route: route.name,
+        version: routes.configuration.version,
+        refusal,
+        retryAfterMs,
+      });
+      sendReply({ kind: "notRun", reason: refusal, retryAfterMs });
+      return () => undefined;
+    }
+    const run = this.#options.runner.run({
+      terms,
+      placement: admission.placement,
+      services: this.#servicesOf(route),
+      forwarded,
+      onReply: (reply, summary) => {
+        sendReply(reply);
+        this.#logReply(reply, summary, routes.configuration.version);
+      },
+      onCallerDisconnected: (summary) => this.#logDisconnect(summary, routes.configuration.version),
+    });
+    return () => run.cancel();
+  }
+
+  #admit({ host, terms }: IncomingRequest, route: Route): Admission {
+    return this.#options.policies.admit({
+      route,
+      caller: host,
+      waitMs: terms.waitMs ?? route.timeoutMs,
+      runningRequests: this.#options.runner.runningCount,
+      boxCount: this.#options.countBoxes(),
+      nowMs: this.#options.nowMs(),
+    });
+  }
+
+  #servicesOf({ name, target }: Route): ReadonlyArray<string> {
+    if (target.kind === "gather") {
+      return target.shards;
+    }
+    const { service, credits } = selectService(
+      target.services,
+      this.#serviceCredits.get(name) ?? new Map(),
+    );
+    this.#serviceCredits.set(name, credits);
+    return [service];
+  }
+
+  #logDisconnect(summary: RequestSummary, version: number): void {
+    const route = summary.state.terms.route.name;
+    this.#options.telemetry.requests.inc({ route, outcome: "callerGone" });
+    this.#options.telemetry.logRequest(
+      "request: caller disconnected",
+      this.#summaryFields(summary, version),
+    );
+  }
+
+  #logReply(reply: Reply, summary: RequestSummary, version: number): void {
+    const { terms } = summary.state;
+    const tookMs = Math.round(this.#options.nowMs() - terms.arrivedAtMs);
+    const route = terms.route.name;
+    this.#options.telemetry.requests.inc({ route, outcome: reply.kind });
+    this.#options.telemetry.requestMs.observe({ route }, tookMs);
+    this.#options.telemetry.logRequest("request: answered", {
+      outcome: reply.kind,
+      ...(reply.kind === "failed" || reply.kind === "notRun" ? { reason: reply.reason } : {}),
+      ...(reply.kind === "notRun" ? refusalFields(reply) : {}),
+      ...(reply.kind === "passed" ? { statusCode: reply.answer.statusCode } : {}),
+      ...this.#summaryFields(summary, version),
+    });
+  }
+
+  /** Log fields of a finished request, with the age of the state that the decisions were based on. */
+  #summaryFields(
+    { blockedShards, fingerprint, lostLeafs, notes, state }: RequestSummary,
+    version: number,
+  ): LogFields {
+    const { terms, shards, partsIn, partsLost, nextAttemptId } = state;
+    const now = this.#options.nowMs();
+    return {
+      requestId: terms.requestId,
+      route: terms.route.name,
+      version,
+      leafsRevision: this.#options.clusterState.leafsRevision,
+      knownAgoMs: Math.round(now - this.#options.clusterState.lastUpdateAtMs),
+      tookMs: Math.round(now - terms.arrivedAtMs),
+      leftMs: Math.round(terms.deadlineAtMs - now),
+      shards: shards.length,
+      partsIn,
+      partsLost,
+      attempts: nextAttemptId - 1,
+      fingerprint,
+      lostLeafs,
+      ...(blockedShards.size === 0 ? {} : { barred: Object.fromEntries(blockedShards) }),
+      notes,
+      open: shards.flatMap(({ service, open, part, relayed }) => {
+        const isIn = part !== undefined || relayed;
+        return isIn ? [] : open.map(({ calledId }) => `${service} at ${calledId}`);
+      }),
+    };
+  }
+}
+
+/** Log fields of a refusal: time until a retry and the reasons. */
+function refusalFields({
+  overload,
+  retryAfterMs,
+  shortfall,
+}: Extract<Reply, { readonly kind: "notRun" }>): LogFields {
+  return { retryAfterMs, ...overload, ...shortfall };
+}
--- a/calls/_answer_reader.ts
+++ b/calls/_answer_reader.ts
@@ -5,48 +5,53 @@
  */
 
 import type { Dispatcher } from "undici";
-import { type Barrier, describeBarrier, type LeafAccess } from "../leaf_access/mod.js";
+import { type BlockReason, describeBlockReason, type LeafAccess } from "../leaf_access/mod.js";
 import {
-  decodeLeafNews,
+  decodeLeafLoadReport,
   decodeLeafResponse,
   encodeLeafHeaders,
-  isAnswerTo,
-  type LeafNews,
+  isResponseTo,
+  type LeafLoadReport,
 } from "../platform/mod.js";
 import type { AnswerHeaders, AttemptOutcome } from "../request/mod.js";
-import type { WaitingCall } from "./_releasing_handler.js";
+import type { PendingCall } from "./_releasing_handler.js";
 import type { LeafCall } from "./leaf_call.js";
 
-/** Why a call ended that this box took back. */
+/** Reason of a call that this box cancelled. */
 export const ABANDONED = "abandoned";
 
-/** Why a call ended whose answer is longer than what is taken. */
+/** Reason of a call whose answer exceeds its size limit. */
 const TOO_LONG = "answer is too long";
 
-/** How a call ended, with what the leaf told beside it. */
-export interface EndedCall extends LeafNews {
+/** How a call ended, with the load that the leaf reported. */
+export interface EndedCall extends LeafLoadReport {
   readonly outcome: AttemptOutcome;
 }
 
-/** What reading answers needs of the box. */
+/** Dependencies of an answer reader. */
 export interface AnswerReaderOptions {
   readonly nowMs: () => number;
-  /** Asked again when a connection is free, as the call may have waited for it. */
-  readonly access: Pick<LeafAccess, "barrierBefore" | "noteSent">;
+  /** Checked again when a connection becomes available, as the call may have waited for it. */
+  readonly access: Pick<LeafAccess, "blockReasonForCall" | "noteSent">;
 }
 
 /**
- * Makes the outcome of a call that may not go to its leaf.
+ * Creates the outcome of a call that may not be sent to its leaf.
  *
- * @param barrier - Why it may not.
+ * @param blockReason - Why it may not be sent.
  * @returns The outcome; nothing was sent.
  */
-export function barredOutcome(barrier: Barrier): AttemptOutcome {
-  return { kind: "failed", sent: false, reason: describeBarrier(barrier), barrier };
+export function blockedOutcome(blockReason: BlockReason): AttemptOutcome {
+  return {
+    kind: "failed",
+    sent: false,
+    reason: describeBlockReason(blockReason),
+    blockReason,
+  };
 }
 
-/** Reads one answer whole; anything else ends the call and its connection. */
-export class AnswerReader implements WaitingCall {
+/** Reads one complete answer. Any other result ends the call and closes its connection. */
+export class AnswerReader implements PendingCall {
   readonly #call: LeafCall;
   readonly #options: AnswerReaderOptions;
   readonly #onEnd: (ended: EndedCall) => void;
@@ -73,16 +78,16 @@
   }
 
   admit(): boolean {
-    const barrier = this.#options.access.barrierBefore(this.#call);
-    if (barrier !== undefined) {
-      this.#end(barredOutcome(barrier));
+    const blockReason = this.#options.access.blockReasonForCall(this.#call);
+    if (blockReason !== undefined) {
+      this.#end(blockedOutcome(blockReason));
       return false;
     }
     this.#options.access.noteSent(this.#call.leaf);
     return true;
   }
 
-  options(): Dispatcher.DispatchOptions {
+  dispatchOptions(): Dispatcher.DispatchOptions {
     const { leaf, method, path, headers, body, deadlineAtMs } = this.#call;
     const leftMs = Math.max(1, Math.floor(deadlineAtMs - this.#options.nowMs()));
     return {
@@ -128,7 +133,7 @@
     if (statusCode < 200) {
       return;
     }
-    if (!isAnswerTo(headers, this.#call.requestId)) {
+    if (!isResponseTo(headers, this.#call.requestId)) {
       this.#fail("answer to another request");
       controller.abort(new Error("answer to another request"));
       return;
@@ -139,7 +144,7 @@
 
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
     this.#sizeBytes += chunk.length;
-    if (this.#sizeBytes > this.#call.mostBytes) {
+    if (this.#sizeBytes > this.#call.maxBytes) {
       this.#chunks.length = 0;
       this.#fail(TOO_LONG);
       controller.abort(new Error(TOO_LONG));
@@ -162,8 +167,13 @@
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    const connectionLost = this.#sent && this.#statusCode === 0;
-    this.#end({ kind: "failed", sent: this.#sent, reason: error.message, connectionLost });
+    const connectionClosed = this.#sent && this.#statusCode === 0;
+    this.#end({
+      kind: "failed",
+      sent: this.#sent,
+      reason: error.message,
+      connectionClosed,
+    });
   }
 
   #fail(reason: string): void {
@@ -173,7 +183,7 @@
   #end(outcome: AttemptOutcome): void {
     if (!this.#ended) {
       this.#ended = true;
-      this.#onEnd({ outcome, ...decodeLeafNews(this.#headers) });
+      this.#onEnd({ outcome, ...decodeLeafLoadReport(this.#headers) });
     }
   }
 }
--- a/cli/object_commands.ts
+++ b/cli/object_commands.ts
@@ -6,21 +6,21 @@
 import { randomUUID } from "node:crypto";
 import { createTwoFilesPatch } from "diff";
 import type { CatalogObject } from "../model/mod.js";
-import { CommandError, callEntry, errorSentence, readJsonFile } from "./_entry_http.js";
+import { CommandError, callEntry, errorMessage, readJsonFile } from "./_entry_http.js";
 import {
   type Command,
   type CommandContext,
-  type CommandEnd,
+  type CommandResult,
   type CommandSettings,
   EXIT_CODES,
   SUBMIT_SPECS,
 } from "./command.js";
 import { readStatus } from "./status_command.js";
 
-/** How often the boxes are asked while a change is awaited, in milliseconds. */
-const LOOK_EVERY_MS = 100;
+/** Interval of polling the daemons until a change is in force, in milliseconds. */
+const POLL_INTERVAL_MS = 100;
 
-/** A collection of objects as the commands name it. */
+/** A collection of objects that commands operate on. */
 export interface Collection {
   readonly noun: string;
   readonly path: string;
@@ -28,18 +28,18 @@
 }
 
 /**
- * Makes the commands of a collection.
+ * Returns the commands of a collection.
  *
  * @param collection - The collection.
  * @returns The commands by name.
  */
 export function objectCommands(collection: Collection): Readonly<Record<string, Command>> {
   const { noun } = collection;
-  const plain = { specs: {}, wordCount: 1 };
+  const plain = { specs: {}, positionalCount: 1 };
   return {
     [`${noun} list`]: {
       ...plain,
-      wordCount: 0,
+      positionalCount: 0,
       usage: "",
       help: `Lists each ${noun} with its revision in force`,
       run: (context) => list(collection, context),
@@ -79,7 +79,7 @@
   };
 }
 
-async function list({ path }: Collection, { settings }: CommandContext): Promise<CommandEnd> {
+async function list({ path }: Collection, { settings }: CommandContext): Promise<CommandResult> {
   const { body } = await callEntry(settings.entry, { method: "GET", path: `/v1/${path}` });
   const { objects } = body as {
     readonly objects: ReadonlyArray<{ readonly name: string; readonly revision: number }>;
@@ -90,9 +90,9 @@
 
 async function readObject(
   { path, noun }: Collection,
-  { settings, words }: CommandContext,
+  { settings, positionals }: CommandContext,
 ): Promise<CatalogObject> {
-  const name = words[0] ?? "";
+  const name = positionals[0] ?? "";
   const answer = await callEntry(settings.entry, { method: "GET", path: `/v1/${path}/${name}` });
   if (answer.statusCode !== 200) {
     throw new CommandError(`Cannot find ${noun} "${name}"`, EXIT_CODES.failed);
@@ -100,13 +100,13 @@
   return answer.body as CatalogObject;
 }
 
-async function get(collection: Collection, context: CommandContext): Promise<CommandEnd> {
+async function get(collection: Collection, context: CommandContext): Promise<CommandResult> {
   const object = await readObject(collection, context);
   const lines = [JSON.stringify(object.value, null, 2)];
   return { exitCode: EXIT_CODES.ok, lines, data: object };
 }
 
-async function history(collection: Collection, context: CommandContext): Promise<CommandEnd> {
+async function history(collection: Collection, context: CommandContext): Promise<CommandResult> {
   const object = await readObject(collection, context);
   const lines = object.history.map(({ revision, author, submissionId, submittedAtEpochMs }) => {
     const submittedAt = new Date(submittedAtEpochMs).toISOString();
@@ -115,14 +115,14 @@
   return { exitCode: EXIT_CODES.ok, lines, data: object.history };
 }
 
-async function diff(collection: Collection, context: CommandContext): Promise<CommandEnd> {
-  const [file = ""] = context.words;
+async function diff(collection: Collection, context: CommandContext): Promise<CommandResult> {
+  const [file = ""] = context.positionals;
   const value = readJsonFile(file);
-  const words = [nameOf(value)];
-  const held = await readObject(collection, { ...context, words }).catch(() => undefined);
-  const before = held === undefined ? "" : `${JSON.stringify(held.value, null, 2)}\n`;
+  const positionals = [nameOf(value)];
+  const current = await readObject(collection, { ...context, positionals }).catch(() => undefined);
+  const before = current === undefined ? "" : `${JSON.stringify(current.value, null, 2)}\n`;
   const after = `${JSON.stringify(value, null, 2)}\n`;
-  const title = held === undefined ? "not there" : `revision ${held.revision}`;
+  const title = current === undefined ? "not there" : `revision ${current.revision}`;
   const patch = createTwoFilesPatch(title, file, before, after);
   const lines = before === after ? ["no difference"] : [patch.trimEnd()];
   return { exitCode: EXIT_CODES.ok, lines, data: { differs: before !== after, patch } };
@@ -136,13 +136,13 @@
   return service;
 }
 
-async function submit(collection: Collection, context: CommandContext): Promise<CommandEnd> {
-  const value = readJsonFile(context.words[0] ?? "");
+async function submit(collection: Collection, context: CommandContext): Promise<CommandResult> {
+  const value = readJsonFile(context.positionals[0] ?? "");
   return change(collection, context, { method: "PUT", name: nameOf(value), body: value });
 }
 
-async function remove(collection: Collection, context: CommandContext): Promise<CommandEnd> {
-  return change(collection, context, { method: "DELETE", name: context.words[0] ?? "" });
+async function remove(collection: Collection, context: CommandContext): Promise<CommandResult> {
+  return change(collection, context, { method: "DELETE", name: context.positionals[0] ?? "" });
 }
 
 interface Change {
@@ -168,7 +168,7 @@
   collection: Collection,
   { settings }: CommandContext,
   { method, name, body }: Change,
-): Promise<CommandEnd> {
+): Promise<CommandResult> {
   const submissionId = settings.submission === "" ? randomUUID() : settings.submission;
   const query = new URLSearchParams({ author: settings.author, submission: submissionId });
   if (settings.base !== "") {
@@ -176,33 +176,37 @@
   }
   const path = `/v1/${collection.path}/${name}?${query}`;
   const answer = await callEntry(settings.entry, { method, path, body }).catch((error: Error) => {
-    // The entry went away with the submission under way.
+    // The connection failed after the submission may have been sent.
     const message = `${error.message}; it is unclear whether the change took effect, submit it again with --submission ${submissionId}`;
     throw new CommandError(message, EXIT_CODES.unclear);
   });
-  const told = answer.body as SubmitBody;
-  if (told.outcome === undefined) {
-    throw new CommandError(errorSentence(answer.body), EXIT_CODES.usage);
+  const result = answer.body as SubmitBody;
+  if (result.outcome === undefined) {
+    throw new CommandError(errorMessage(answer.body), EXIT_CODES.usage);
   }
-  const lines = [`${collection.noun} ${name}: ${told.message} (submission ${submissionId})`];
-  const exitCode = OUTCOME_CODES[told.outcome] ?? EXIT_CODES.failed;
+  const lines = [`${collection.noun} ${name}: ${result.message} (submission ${submissionId})`];
+  const exitCode = OUTCOME_CODES[result.outcome] ?? EXIT_CODES.failed;
   if (exitCode !== EXIT_CODES.ok || !settings.wait) {
-    return { exitCode, lines, data: told };
+    return { exitCode, lines, data: result };
   }
   const key = `${collection.kind}/${name}`;
-  const waited = await waitInForce(settings, { key, revision: told.revision });
-  return { ...waited, lines: [...lines, ...waited.lines], data: { ...told, waited: waited.data } };
+  const waitResult = await waitInForce(settings, { key, revision: result.revision });
+  return {
+    ...waitResult,
+    lines: [...lines, ...waitResult.lines],
+    data: { ...result, waited: waitResult.data },
+  };
 }
 
-interface Awaited {
+interface AwaitedRevision {
   readonly key: string;
   readonly revision: number;
 }
 
 async function waitInForce(
   settings: CommandSettings,
-  { key, revision }: Awaited,
-): Promise<CommandEnd> {
+  { key, revision }: AwaitedRevision,
+): Promise<CommandResult> {
   const startedAtMs = performance.now();
   while (true) {
     const daemons = await readStatus(settings.entry);
@@ -212,15 +216,15 @@
       .map((each) => each.memberId);
     const tookMs = Math.round(performance.now() - startedAtMs);
     if (behind.length === 0) {
-      const told = `in force on ${daemons.length - unreached.length} daemons after ${tookMs} ms`;
+      const summary = `in force on ${daemons.length - unreached.length} daemons after ${tookMs} ms`;
       const lines =
-        unreached.length === 0 ? [told] : [told, `not reached: ${unreached.join(", ")}`];
+        unreached.length === 0 ? [summary] : [summary, `unreachable: ${unreached.join(", ")}`];
       return { exitCode: EXIT_CODES.ok, lines, data: { inForce: true, tookMs, unreached } };
     }
     if (tookMs > settings["wait-ms"]) {
       const lines = [`not yet in force on ${behind.join(", ")}`];
       return { exitCode: EXIT_CODES.failed, lines, data: { inForce: false, behind, unreached } };
     }
-    await new Promise((resolve) => setTimeout(resolve, LOOK_EVERY_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/clock/mod.ts
+++ b/clock/mod.ts
@@ -1,7 +1,7 @@
 /**
- * The time that has passed, also while the box was suspended.
+ * Monotonic time that includes suspensions of the box.
  *
  * @module
  */
 export * from "./box_clock.js";
-export * from "./suspension_clock.js";
+export * from "./suspend_aware_clock.js";
--- /dev/null
+++ b/cluster_state/shared_state.ts
@@ -0,0 +1,129 @@
+/**
+ * State that a box sends to a peer whose own is older: the configuration, and the leafs that have changed.
+ *
+ * @module
+ */
+import { deflateRawSync, inflateRawSync } from "node:zlib";
+import type { SyncProgress } from "../fleet/mod.js";
+import { applyLeafChanges, applyLeafList, type LeafTable } from "../leafs/mod.js";
+import type { Configuration } from "../routing/mod.js";
+import { isSharedState, type SharedState } from "./_shared_state_fields.js";
+import type { LeafChangeLog } from "./leaf_change_log.js";
+
+export type {
+  ExpiredLeaf,
+  SharedState,
+} from "./_shared_state_fields.js";
+
+/** HTTP path at which a box serves its state to peers. */
+export const CLUSTER_STATE_PATH = "/peer/v1/knowledge";
+
+/** Maximum size of an inflated response, in bytes. */
+const MAX_SHARED_STATE_BYTES = 64 * 1_048_576;
+
+/** State of a box from which shared state is selected. */
+export interface ClusterStateSnapshot {
+  readonly configuration: Configuration | undefined;
+  readonly leafs: LeafTable;
+  readonly changeLog: LeafChangeLog;
+  readonly leafsRevision: number;
+  readonly nowMs: number;
+}
+
+/**
+ * Selects the state that a peer lacks.
+ *
+ * @param snapshot - State of this box.
+ * @param progress - Versions that the peer has.
+ * @returns The state to send to the peer.
+ */
+export function selectSharedState(
+  { configuration, leafs, changeLog, leafsRevision, nowMs }: ClusterStateSnapshot,
+  progress: SyncProgress,
+): SharedState {
+  const since = changeLog.since(progress.leafsRevision);
+  const lapsed = [...leafs.expiresAtMs].map(([leafId, atMs]) => ({ leafId, leftMs: atMs - nowMs }));
+  const changed = since?.changed.flatMap((leafId) => leafs.byId.get(leafId) ?? []);
+  const isNewer = (configuration?.version ?? 0) > progress.configurationVersion;
+  return {
+    ...(configuration !== undefined && isNewer ? { configuration } : {}),
+    leafs: changed ?? [...leafs.byId.values()],
+    ...(since === undefined ? {} : { removed: since.removed.filter((id) => !leafs.byId.has(id)) }),
+    lapsed,
+    leafsRevision,
+  };
+}
+
+/**
+ * Merges the leafs of a peer into a table.
+ *
+ * @param table - Current leafs.
+ * @param shared - State received from the peer.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The updated table.
+ */
+export function applySharedState(
+  table: LeafTable,
+  { leafs, removed, lapsed }: SharedState,
+  nowMs: number,
+): LeafTable {
+  const withoutGrace = { nowMs, graceMs: 0 };
+  const merged =
+    removed === undefined
+      ? applyLeafList(table, leafs, withoutGrace)
+      : applyLeafChanges(table, { changed: leafs, removed }, withoutGrace);
+  return lapsed.reduce((current, { leafId, leftMs }) => {
+    const options = { nowMs, graceMs: Math.max(1, leftMs) };
+    return applyLeafChanges(current, { changed: [], removed: [leafId] }, options);
+  }, merged);
+}
+
+/**
+ * Encodes shared state.
+ *
+ * @param shared - State to encode.
+ * @returns Deflated JSON.
+ */
+export function encodeSharedState(shared: SharedState): Buffer {
+  return deflateRawSync(JSON.stringify(shared));
+}
+
+/**
+ * Decodes shared state.
+ *
+ * @param bytes - Bytes received from a peer.
+ * @returns The decoded state.
+ * @throws If the bytes cannot be inflated or parsed, or contain an invalid value.
+ */
+export function decodeSharedState(bytes: Buffer): SharedState {
+  const text = inflateRawSync(bytes, { maxOutputLength: MAX_SHARED_STATE_BYTES }).toString("utf8");
+  const data: unknown = JSON.parse(text);
+  if (!isSharedState(data)) {
+    throw new Error("Cannot decode shared state: invalid value");
+  }
+  return data;
+}
+
+/**
+ * Builds the URL path to request state from a peer.
+ *
+ * @param progress - Versions that this box has.
+ * @returns Path and query.
+ */
+export function clusterStateUrl({ configurationVersion, leafsRevision }: SyncProgress): string {
+  return `${CLUSTER_STATE_PATH}?configuration=${configurationVersion}&leafs=${leafsRevision}`;
+}
+
+/**
+ * Parses the versions that the requesting peer has.
+ *
+ * @param url - Path and query.
+ * @returns The versions; 0 for each that is missing or invalid.
+ */
+export function decodeClusterStateUrl(url: string): SyncProgress {
+  const query = new URLSearchParams(url.split("?")[1] ?? "");
+  return {
+    configurationVersion: Number(query.get("configuration") ?? 0) || 0,
+    leafsRevision: Number(query.get("leafs") ?? 0) || 0,
+  };
+}
--- a/knowledge/store_health_test.ts
+++ b/cluster_state/store_health_test.ts
@@ -2,31 +2,31 @@
 import type { LogFields } from "../telemetry/mod.js";
 import { StoreHealth } from "./store_health.js";
 
-t.test("failed calls are told with what they took and how old the last answer is", async (t) => {
+t.test("a failed call is logged with its duration and the age of the last answer", async (t) => {
   let nowMs = 1_000;
   const lines: Array<readonly [string, LogFields | undefined]> = [];
   const counted: Array<unknown> = [];
   const health = new StoreHealth({
     nowMs: () => nowMs,
     telemetry: {
-      event: (_level, sentence, fields) => lines.push([sentence, fields]),
+      event: (_level, message, fields) => lines.push([message, fields]),
       storeAnswers: { inc: (labels: unknown) => counted.push(labels) } as never,
     },
   });
   const unused = { onList: () => undefined, onChanges: () => undefined };
   const leafs = health.listener("leafs", unused);
   const routes = health.listener("routes", unused);
-  leafs.onHeard();
+  leafs.onAnswer();
   nowMs += 4_000;
-  routes.onHeard();
+  routes.onAnswer();
   nowMs += 2_000;
   const error = { kind: "unclear", message: "no answer" } as const;
   leafs.onFailed({ error, tookMs: 6_000, failures: 1 });
   leafs.onFailed({ error, tookMs: 700, failures: 2 });
   const first = { kind: "leafs", tookMs: 6_000, failures: 1, answeredAgoMs: 6_000 };
   t.same(lines, [
-    ["store: lost", { ...first, reason: "no answer" }],
-    ["store: still not heard", { ...first, tookMs: 700, failures: 2, reason: "no answer" }],
+    ["store: unreachable", { ...first, reason: "no answer" }],
+    ["store: still unreachable", { ...first, tookMs: 700, failures: 2, reason: "no answer" }],
   ]);
   t.same(
     [...health.answeredAgoMs()],
@@ -35,6 +35,6 @@
       ["routes", 2_000],
     ],
   );
-  t.notOk(health.isHeard);
+  t.notOk(health.isReachable);
   t.same(counted.at(-1), { kind: "leafs", outcome: "unclear" });
 });
--- a/extra_calls/mod.ts
+++ b/extra_calls/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Extra calls: when a shard is asked again, and which budget pays for it.
+ * Budgets of extra calls: hedges and retries.
  *
  * @module
  */
 export * from "./extra_call_budgets.js";
-export * from "./sliding_count.js";
+export * from "./sliding_window_counter.js";
--- a/leaf_access/mod.ts
+++ b/leaf_access/mod.ts
@@ -1,9 +1,9 @@
 /**
- * Whether a call may go to a leaf at this moment: the one place that every way to a leaf asks.
+ * Decides whether a call may be sent to a leaf. Every path to a leaf checks here.
  *
  * @module
  */
-export * from "./barrier.js";
+export * from "./block_reason.js";
+export * from "./cold_call_quota.js";
 export * from "./cold_leafs.js";
-export * from "./cold_share.js";
 export * from "./leaf_access.js";
--- a/leafs/mod.ts
+++ b/leafs/mod.ts
@@ -1,10 +1,10 @@
 /**
- * Leafs: which ones a box believes in, how they behave, and which is asked next.
+ * Leafs: the table of known leafs, their observed health, and the selection of the leaf to call.
  *
  * @module
  */
 export * from "./choose_leaf.js";
 export * from "./leaf.js";
-export * from "./leaf_condition.js";
-export * from "./leaf_pace.js";
+export * from "./leaf_health.js";
+export * from "./leaf_slowdown.js";
 export * from "./leaf_table.js";
--- a/model/mod.ts
+++ b/model/mod.ts
@@ -1,10 +1,10 @@
 /**
- * Types that all parts share.
+ * Data types and schemas shared by all modules.
  *
  * @module
  */
 export * from "./catalog_object.js";
-export type * from "./evacuation_news.js";
+export type * from "./evacuation_update.js";
 export * from "./limits.js";
 export * from "./member.js";
 export * from "./query.js";
--- a/relay/_separate_relay.ts
+++ b/relay/_separate_relay.ts
@@ -1,42 +1,46 @@
 /**
- * Asks the leafs that another box names, and hands over each part as soon as it is in.
+ * Handles relay requests for separate parts: calls the leafs that another box names, and sends each part as it arrives.
  *
  * @module
  */
 import type { ServerResponse } from "node:http";
 import type { OpenCall } from "../calls/mod.js";
-import { isFull, NEW_CONDITION } from "../leafs/mod.js";
+import { INITIAL_LEAF_HEALTH, isFull } from "../leafs/mod.js";
 import {
   type AttemptOutcome,
-  type LostPart,
+  type FailedPart,
   mergeRecords,
   type RelayedParts,
 } from "../request/mod.js";
-import { lostPartOf } from "./_lost_part_of.js";
-import { type OrderedCall, orderedCall } from "./_ordered_call.js";
+import { failedPartOf } from "./_failed_part_of.js";
+import { type LeafCallTemplate, leafCallTemplate } from "./_leaf_call_template.js";
 import type { Relay, RelayServerOptions } from "./_relay.js";
-import { encodeRelayed } from "./relay_frames.js";
-import { type SeparateCall, type SeparateOrder, servicesOf } from "./relay_order.js";
+import { encodeRelayFrame } from "./relay_frames.js";
+import { type SeparateCall, type SeparateRelayRequest, servicesOf } from "./relay_request.js";
 
-/** One order for separate parts under way. */
+/** A relay request for separate parts in progress. */
 export class SeparateRelay implements Relay {
-  readonly #order: SeparateOrder;
+  readonly #request: SeparateRelayRequest;
   readonly #response: ServerResponse;
   readonly #options: RelayServerOptions;
-  readonly #call: OrderedCall;
+  readonly #call: LeafCallTemplate;
   readonly #open = new Set<OpenCall>();
   #openCount = 0;
 
-  constructor(order: SeparateOrder, response: ServerResponse, options: RelayServerOptions) {
-    this.#order = order;
-    this.#call = orderedCall(order);
+  constructor(
+    request: SeparateRelayRequest,
+    response: ServerResponse,
+    options: RelayServerOptions,
+  ) {
+    this.#request = request;
+    this.#call = leafCallTemplate(request);
     this.#response = response;
     this.#options = options;
   }
 
   start(): void {
-    const declined = this.#order.calls.filter((call) => !this.#ask(call));
-    this.#tellLost(
+    const declined = this.#request.calls.filter((call) => !this.#callLeaf(call));
+    this.#reportFailed(
       declined.map(({ service }) => service),
       "declined",
     );
@@ -49,54 +53,54 @@
     }
   }
 
-  /** Asks a leaf; tells whether this box knows it as one that may be asked. */
-  #ask({ service, leafId }: SeparateCall): boolean {
+  /** Calls a leaf; returns whether the leaf is known and may be called. */
+  #callLeaf({ service, leafId }: SeparateCall): boolean {
     const { access, calls, leafs, nowMs } = this.#options;
     const leaf = leafs().byId.get(leafId);
-    const condition = calls.condition(leafId) ?? NEW_CONDITION;
-    if (leaf === undefined || leaf.draining || condition.gone || isFull(condition, leaf)) {
+    const health = calls.health(leafId) ?? INITIAL_LEAF_HEALTH;
+    if (leaf === undefined || leaf.draining || health.terminated || isFull(health, leaf)) {
       return false;
     }
-    if (access.barrierTo(leaf, this.#call.routeKey) !== undefined) {
+    if (access.blockReasonForLeaf(leaf, this.#call.routeKey) !== undefined) {
       return false;
     }
-    const { leftMs } = this.#order;
+    const { leftMs } = this.#request;
     this.#openCount += 1;
     const open = calls.send({ ...this.#call, leaf, deadlineAtMs: nowMs() + leftMs }, (outcome) => {
       this.#openCount -= 1;
       this.#open.delete(open);
-      this.#take(service, outcome);
+      this.#onOutcome(service, outcome);
     });
     this.#open.add(open);
     return true;
   }
 
-  #take(service: string, outcome: AttemptOutcome): void {
-    const why = lostPartOf(outcome);
-    if (why !== undefined) {
-      this.#tellLost([service], why);
+  #onOutcome(service: string, outcome: AttemptOutcome): void {
+    const reason = failedPartOf(outcome);
+    if (reason !== undefined) {
+      this.#reportFailed([service], reason);
     } else if (outcome.kind === "answered" && !this.#response.destroyed) {
       const { signature, body } = outcome.answer;
-      const { topRecords, leastRecord } = this.#order;
-      const records = mergeRecords([body], { topRecords, leastRecord });
+      const { topRecords, minRecord } = this.#request;
+      const records = mergeRecords([body], { topRecords, minRecord });
       const signatures = new Map([[service, signature]]);
-      this.#response.write(this.#encode({ signatures, records, lost: new Map() }));
+      this.#response.write(this.#encode({ signatures, records, failed: new Map() }));
       this.#options.onParts(1);
     }
     this.#endIfDone();
   }
 
-  /** Says of services that they have no part, so that the box that asked need not wait for one. */
-  #tellLost(services: ReadonlyArray<string>, why: LostPart): void {
+  /** Reports services without a part, so that the requesting box need not wait for them. */
+  #reportFailed(services: ReadonlyArray<string>, reason: FailedPart): void {
     if (services.length > 0 && !this.#response.destroyed) {
       const records = Buffer.alloc(0);
-      const lost = new Map(services.map((service) => [service, why]));
-      this.#response.write(this.#encode({ signatures: new Map(), records, lost }));
+      const failed = new Map(services.map((service) => [service, reason]));
+      this.#response.write(this.#encode({ signatures: new Map(), records, failed }));
     }
   }
 
   #encode(parts: RelayedParts): Buffer {
-    return encodeRelayed(parts, servicesOf(this.#order));
+    return encodeRelayFrame(parts, servicesOf(this.#request));
   }
 
   #endIfDone(): void {
--- a/relay/mod.ts
+++ b/relay/mod.ts
@@ -1,10 +1,11 @@
 /**
- * Boxes that ask leafs near them for boxes of other regions.
+ * Relaying of leaf calls between regions: a box calls its local leafs on behalf of boxes in other regions.
  *
  * @module
  */
-export type { RelayListener } from "./_order_reader.js";
+
 export type { RelayServerOptions } from "./_relay.js";
+export type { RelayListener } from "./_relay_response_reader.js";
 export * from "./relay_calls.js";
-export * from "./relay_order.js";
+export * from "./relay_request.js";
 export * from "./relay_server.js";
--- a/request/mod.ts
+++ b/request/mod.ts
@@ -1,10 +1,11 @@
 /**
- * One caller's request: which leafs it is sent to, when again, and what is answered.
+ * The state machine of one caller's request: which leafs are called, when calls are repeated, and
+ * what is replied.
  *
  * @module
  */
-export * from "./lost_part.js";
-export * from "./record_floor.js";
+export * from "./failed_part.js";
 export * from "./record_merge.js";
+export * from "./record_threshold.js";
 export * from "./request_core.js";
 export * from "./request_state.js";
--- a/routing/mod.ts
+++ b/routing/mod.ts
@@ -1,8 +1,8 @@
 /**
- * Routes: how a request's host and path decide which services answer it.
+ * Routes: map a request's host and path to the services that answer it.
  *
  * @module
  */
 export * from "./configuration.js";
 export * from "./route_table.js";
-export * from "./split_service.js";
+export * from "./select_service.js";
--- a/routing/route_table_test.ts
+++ b/routing/route_table_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import type { Route } from "./configuration.js";
-import { findRoute, routeTable } from "./route_table.js";
+import { buildRouteTable, findRoute } from "./route_table.js";
 
 function route(name: string, host: string, prefix: string): Route {
   return {
@@ -17,7 +17,7 @@
   };
 }
 
-const TABLE = routeTable({
+const TABLE = buildRouteTable({
   version: 1,
   routes: [route("short", "h.example", "/a/"), route("long", "h.example", "/a/b/")],
   services: [],
@@ -29,20 +29,20 @@
   t.equal(findRoute(TABLE, { host: "h.example", path: "/a/c" })?.name, "short");
 });
 
-t.test("findRoute() passes over port and case of the host", async (t) => {
+t.test("findRoute() ignores port and case of the host", async (t) => {
   t.equal(findRoute(TABLE, { host: "H.Example:80", path: "/a/" })?.name, "short");
 });
 
-t.test("findRoute() finds nothing on another host or path", async (t) => {
+t.test("findRoute() is undefined for another host or path", async (t) => {
   t.equal(findRoute(TABLE, { host: "other.example", path: "/a/" }), undefined);
   t.equal(findRoute(TABLE, { host: "h.example", path: "/ab/" }), undefined);
 });
 
-t.test("routeTable() gives routes to a single leaf no allowance for queues", async (t) => {
+t.test("buildRouteTable() sets no queue allowance for routes to a single leaf", async (t) => {
   const single = route("one leaf", "h.example", "/a/");
   const target = { kind: "gather", shards: ["s"], topRecords: 1, leastShare: 1 } as const;
   const gather = { ...route("all shards", "h.example", "/b/"), target };
   const { configuration } = TABLE;
-  const { queueAllowancesMs } = routeTable({ ...configuration, routes: [single, gather] });
+  const { queueAllowancesMs } = buildRouteTable({ ...configuration, routes: [single, gather] });
   t.same([...queueAllowancesMs.keys()], ["all shards"]);
 });
