--- a/admission/infeasible_query.ts
+++ b/admission/infeasible_query.ts
@@ -1,7 +1,7 @@
 /**
- * Detects infeasible queries: those that are not expected to reach their minimum coverage, because too many calls fail and
- * the budgets for extra calls are exhausted. Refusing them immediately saves leaf capacity and leaves the remaining budget
- * to queries that can succeed.
+ * Detects infeasible queries: those that are not expected to reach their minimum coverage, because
+ * too many calls fail and the budgets for extra calls are exhausted. Refusing them immediately
+ * saves leaf capacity and leaves the remaining budget to queries that can succeed.
  *
  * @module
  */
@@ -26,8 +26,8 @@
 const MAX_EXTRA_CALLS = 3;
 
 /**
- * Returns the shortfall of a query that would not reach its minimum number of parts even with one standard deviation more
- * parts than expected.
+ * Returns the shortfall of a query that would not reach its minimum number of parts even with one
+ * standard deviation more parts than expected.
  *
  * @param shards - Expected behaviour of each shard of the query.
  * @param leastParts - Minimum number of parts for an answer.
--- a/admission/overload.ts
+++ b/admission/overload.ts
@@ -1,6 +1,6 @@
 /**
- * Detects overload from the queues at the leafs. A request is refused immediately if too many of its shards have long
- * queues, which leaves capacity to requests that can be answered in time.
+ * Detects overload from the queues at the leafs. A request is refused immediately if too many of
+ * its shards have long queues, which leaves capacity to requests that can be answered in time.
  *
  * @module
  */
@@ -15,10 +15,16 @@
   readonly standingMs: number;
 }
 
-/** Fraction of shards that must have a longer queueing delay; high enough to ignore single slow leafs. */
+/**
+ * Fraction of shards that must have a longer queueing delay; high enough to ignore single slow
+ * leafs.
+ */
 const OVERLOADED_SHARE = 0.45;
 
-/** Multiple of the tolerated delay above which a request is refused even if the queue is not persistent. */
+/**
+ * Multiple of the tolerated delay above which a request is refused even if the queue is not
+ * persistent.
+ */
 const EXTREME_QUEUE_FACTOR = 4;
 
 /** Minimum time after which a refused caller may retry, in milliseconds. */
--- a/admission/persistent_queue.ts
+++ b/admission/persistent_queue.ts
@@ -1,6 +1,7 @@
 /**
- * Distinguishes persistent queues from transient ones. A few queries that arrive together cause a short queue at normal
- * load, for which no request should be refused; under overload every sample finds a queue.
+ * Distinguishes persistent queues from transient ones. A few queries that arrive together cause a
+ * short queue at normal load, for which no request should be refused; under overload every sample
+ * finds a queue.
  *
  * @module
  */
--- a/admission/queue_allowance.ts
+++ b/admission/queue_allowance.ts
@@ -1,6 +1,6 @@
 /**
- * Maximum queueing delay for each route, above which new requests are refused. Under overload, accepted requests are then
- * answered in time and less urgent requests are refused first.
+ * Maximum queueing delay for each route, above which new requests are refused. Under overload,
+ * accepted requests are then answered in time and less urgent requests are refused first.
  *
  * @module
  */
@@ -16,15 +16,18 @@
   readonly shards: ReadonlyArray<string>;
 }
 
-/** Fraction of the latency objective that may be spent in queues; the remainder is for processing and the network. */
+/**
+ * Fraction of the latency objective that may be spent in queues; the remainder is for processing
+ * and the network.
+ */
 const QUEUE_OBJECTIVE_SHARE = 0.15;
 
 /** Fraction of a more urgent route's allowance that a route may use, per rank of difference. */
 const LESS_URGENT_SHARE = 0.7;
 
 /**
- * Computes the queue allowances of routes that query all shards. Routes to a single leaf have none, as their late answers
- * are still useful.
+ * Computes the queue allowances of routes that query all shards. Routes to a single leaf have none,
+ * as their late answers are still useful.
  *
  * @param routes - The routes that query all shards.
  * @returns Queue allowances by route name, in milliseconds.
--- a/leafs/choose_leaf.ts
+++ b/leafs/choose_leaf.ts
@@ -19,7 +19,10 @@
   health(leafId: string): LeafHealth | undefined;
   /** Returns the location of a leaf relative to this box. */
   distance(leaf: Leaf): Distance;
-  /** Returns the queueing delay at leafs of this leaf's location, as reported by boxes there, in milliseconds. */
+  /**
+   * Returns the queueing delay at leafs of this leaf's location, as reported by boxes there, in
+   * milliseconds.
+   */
   readonly reportedQueueMs?: (leaf: Leaf) => number;
   /** Placement strategy of the service's policy; `least-loaded` by default. */
   readonly placement?: Placement;
@@ -34,17 +37,21 @@
 }
 
 /**
- * Cost added to the expected latency by distance, in milliseconds. Includes the price of traffic between regions, so that
- * a remote leaf is selected only if it is much faster.
+ * Cost added to the expected latency by distance, in milliseconds. Includes the price of traffic
+ * between regions, so that a remote leaf is selected only if it is much faster.
  */
 const DISTANCE_COST_MS: Readonly<Record<Distance, number>> = { zone: 0, region: 4, remote: 100 };
 
-/** Fraction of the latency objective available to the first call; the remainder is for merging and a retry. */
+/**
+ * Fraction of the latency objective available to the first call; the remainder is for merging and a
+ * retry.
+ */
 const FIRST_CALL_OBJECTIVE_SHARE = 0.5;
 
 /**
- * Cost factor for the time by which a leaf that reports a slowdown is expected to exceed its share of the objective. Does
- * not apply to leafs that merely have a queue, as all queries would then move to another region at the same time.
+ * Cost factor for the time by which a leaf that reports a slowdown is expected to exceed its share
+ * of the objective. Does not apply to leafs that merely have a queue, as all queries would then
+ * move to another region at the same time.
  */
 const LATE_COST_FACTOR = 4;
 
@@ -68,12 +75,15 @@
 const REPORTED_LOAD_TTL_MS = 300;
 
 /**
- * A leaf is considered unresponsive after this many times its mean latency without an answer, but not before the minimum
- * below. The limits are lower with several open calls, as one of them would normally have finished.
+ * A leaf is considered unresponsive after this many times its mean latency without an answer, but
+ * not before the minimum below. The limits are lower with several open calls, as one of them would
+ * normally have finished.
  */
 const UNRESPONSIVE_LATENCY_FACTORS = { one: 3, several: 1.7 } as const;
 
-/** Minimum time without an answer after which a leaf is considered unresponsive, in milliseconds. */
+/**
+ * Minimum time without an answer after which a leaf is considered unresponsive, in milliseconds.
+ */
 const MIN_UNRESPONSIVE_MS = { one: 40, several: 30 } as const;
 
 /** Cost of an unresponsive leaf, in milliseconds. */
@@ -82,7 +92,10 @@
 /** Cost of a leaf that has recently failed or rejected a call, in milliseconds. */
 const AVOID_COST_MS = 1_000;
 
-/** Cost of a failure rate of 1, in milliseconds: the time of a retry and its use of the retry budget. */
+/**
+ * Cost of a failure rate of 1, in milliseconds: the time of a retry and its use of the retry
+ * budget.
+ */
 const FAILURE_COST_MS = 600;
 
 /** Factor on the latency of a leaf that is still warming up. */
@@ -163,7 +176,10 @@
   return queuedMs + lateMs + distanceMs + unresponsiveMs + avoidMs + failureMs;
 }
 
-/** Load of a leaf: the greater of this box's open calls and the reported load, which decays with its age. */
+/**
+ * Load of a leaf: the greater of this box's open calls and the reported load, which decays with its
+ * age.
+ */
 function loadOf({ openCalls, reportedAtMs, reportedLoad }: LeafHealth, nowMs: number): number {
   const reportWeight = Math.max(0, 1 - (nowMs - reportedAtMs) / REPORTED_LOAD_TTL_MS);
   return Math.max(openCalls.length, reportedLoad * reportWeight);
--- a/leafs/choose_leaf_test.ts
+++ b/leafs/choose_leaf_test.ts
@@ -94,7 +94,7 @@
   t.equal(chooseLeaf([REMOTE, LOCAL], late)?.leaf, REMOTE);
 });
 
-// Guards against a mass shift of calls to another region while local leafs have queues after crashes.
+// Guards against moving all calls to another region while local leafs have queues.
 t.test("chooseLeaf() keeps local leafs that only have queues", async (t) => {
   const queued = contextWith({ "b local": { meanMs: 90 } }, { objectiveMs: 100 });
   t.equal(chooseLeaf([REMOTE, LOCAL], queued)?.leaf, LOCAL);
--- a/leafs/leaf_health.ts
+++ b/leafs/leaf_health.ts
@@ -13,11 +13,19 @@
   readonly sentAtIdleMs: number;
 }
 
-/** Health of one leaf as observed by this box. Also used for boxes that calls are relayed through. */
+/**
+ * Health of one leaf as observed by this box. Also used for boxes that calls are relayed through.
+ */
 export interface LeafHealth {
-  /** Mean latency of answered calls at normal speed, network included, in milliseconds; 0 before the first answer. */
+  /**
+   * Mean latency of answered calls at normal speed, network included, in milliseconds; 0 before the
+   * first answer.
+   */
   readonly meanMs: number;
-  /** Mean processing time without queueing, estimated from the reported load, in milliseconds; 0 if unknown. */
+  /**
+   * Mean processing time without queueing, estimated from the reported load, in milliseconds; 0 if
+   * unknown.
+   */
   readonly workMs: number;
   /** Calls of this box that the leaf has not answered yet. */
   readonly openCalls: ReadonlyArray<OpenLeafCall>;
@@ -57,7 +65,10 @@
   terminated: false,
 };
 
-/** Initial time for which a failing leaf is avoided, in milliseconds; doubles with each further failure. */
+/**
+ * Initial time for which a failing leaf is avoided, in milliseconds; doubles with each further
+ * failure.
+ */
 const INITIAL_AVOID_MS = 100;
 
 /** Weight of one call in the moving average of the failure rate. */
@@ -123,7 +134,10 @@
   return END_HANDLERS[end.result](updated, end, tookMs / Math.max(1, factor ?? 1));
 }
 
-/** Updates the mean processing time. A queued call takes one turn for each full set of slots ahead of it. */
+/**
+ * Updates the mean processing time. A queued call takes one turn for each full set of slots ahead
+ * of it.
+ */
 function updateWorkMs(workMs: number, { reportedLoad, slots }: CallEnd, tookMs: number): number {
   if (reportedLoad === undefined || slots === undefined) {
     return workMs;
--- a/leafs/leaf_slowdown.ts
+++ b/leafs/leaf_slowdown.ts
@@ -1,8 +1,9 @@
 /**
  * Slowdown of a leaf as reported by the leaf itself.
  *
- * Leafs share their machines with other processes and may slow down for a fraction of a second or for many seconds. The
- * reports let a box react to the first slow answer, before its own latency statistics show the slowdown.
+ * Leafs share their machines with other processes and may slow down for a fraction of a second or
+ * for many seconds. The reports let a box react to the first slow answer, before its own latency
+ * statistics show the slowdown.
  *
  * @module
  */
@@ -26,10 +27,16 @@
 /** Minimum time for which a report is valid, in milliseconds. */
 const MIN_REPORT_TTL_MS = 250;
 
-/** Maximum time for which a report is valid, in milliseconds, so that a recovered leaf is tried again. */
+/**
+ * Maximum time for which a report is valid, in milliseconds, so that a recovered leaf is tried
+ * again.
+ */
 const MAX_REPORT_TTL_MS = 2_000;
 
-/** Range that reported factors are clamped to, so that an invalid report neither excludes nor favours a leaf. */
+/**
+ * Range that reported factors are clamped to, so that an invalid report neither excludes nor
+ * favours a leaf.
+ */
 const FACTOR_RANGE = { min: 0.2, max: 100 } as const;
 
 /**
@@ -50,8 +57,8 @@
 }
 
 /**
- * Estimates the current slowdown of a leaf. A slowdown is expected to continue for as long as it has lasted so far; after
- * that, normal speed is assumed so that the leaf is tried again.
+ * Estimates the current slowdown of a leaf. A slowdown is expected to continue for as long as it
+ * has lasted so far; after that, normal speed is assumed so that the leaf is tried again.
  *
  * @param slowdown - Last reported slowdown.
  * @param nowMs - Current time, in milliseconds.
--- a/leafs/leaf_table.ts
+++ b/leafs/leaf_table.ts
@@ -10,9 +10,13 @@
 export interface LeafTable {
   readonly byId: ReadonlyMap<string, Leaf>;
   readonly byService: ReadonlyMap<string, ReadonlyArray<Leaf>>;
-  /** Expiry times of leafs whose entry was deleted but may be restored, in milliseconds, by leaf ID. */
+  /**
+   * Expiry times of leafs whose entry was deleted but may be restored, in milliseconds, by leaf ID.
+   */
   readonly expiresAtMs: ReadonlyMap<string, number>;
-  /** Last known state of recently removed leafs; a store restored from a backup may list them again. */
+  /**
+   * Last known state of recently removed leafs; a store restored from a backup may list them again.
+   */
   readonly recentlyRemoved?: ReadonlyMap<string, Leaf>;
 }
 
@@ -32,14 +36,18 @@
   readonly changed: ReadonlyArray<Leaf>;
   /** IDs of deleted entries. */
   readonly removed: ReadonlyArray<string>;
-  /** IDs of entries that exist but cannot be parsed; these leafs are dropped without a grace period. */
+  /**
+   * IDs of entries that exist but cannot be parsed; these leafs are dropped without a grace period.
+   */
   readonly unreadable?: ReadonlyArray<string>;
 }
 
 /** How removed entries are handled. */
 export interface RemovalOptions {
   readonly nowMs: number;
-  /** Grace period for a deleted entry to be restored, in milliseconds; 0 drops the leaf immediately. */
+  /**
+   * Grace period for a deleted entry to be restored, in milliseconds; 0 drops the leaf immediately.
+   */
   readonly graceMs: number;
 }
 
@@ -86,9 +94,10 @@
 }
 
 /**
- * Returns whether an entry is at least as recent as the known one. A store restored from a backup lists overwritten entries
- * at positions that count as later, so the leaf's own sequence number decides across eras. Otherwise a leaf that is
- * draining or has terminated would receive calls again.
+ * Returns whether an entry is at least as recent as the known one. A store restored from a backup
+ * lists overwritten entries at positions that count as later, so the leaf's own sequence number
+ * decides across eras. Otherwise a leaf that is draining or has terminated would receive calls
+ * again.
  */
 function isCurrent(
   entry: Leaf,
--- a/leafs/leaf_table_test.ts
+++ b/leafs/leaf_table_test.ts
@@ -1,6 +1,6 @@
 /**
- * A store restored from a backup lists outdated entries again. They must not reactivate a draining leaf or restore a
- * terminated one.
+ * A store restored from a backup lists outdated entries again. They must not reactivate a draining
+ * leaf or restore a terminated one.
  */
 import t from "tap";
 import { storePosition } from "../model/mod.js";
--- a/model/member.ts
+++ b/model/member.ts
@@ -16,7 +16,9 @@
   readonly memberId: string;
   /** Unique to each run of the daemon. */
   readonly incarnation: string;
-  /** Start time of the daemon, in milliseconds since the epoch; a later run replaces an earlier one. */
+  /**
+   * Start time of the daemon, in milliseconds since the epoch; a later run replaces an earlier one.
+   */
   readonly startedAtEpochMs: number;
   /** Incremented each time the daemon publishes its own state. */
   readonly version: number;
--- a/model/schema.ts
+++ b/model/schema.ts
@@ -202,8 +202,8 @@
 }
 
 /**
- * Parses and validates a caller's query. The authorization scope (`rights`) defaults to the caller's
- * name, so that sub-requests are not shared between callers unless requested.
+ * Parses and validates a caller's query. The authorization scope (`rights`) defaults to the
+ * caller's name, so that sub-requests are not shared between callers unless requested.
  *
  * @param data - Data from the caller.
  * @returns The query, or the first error found.
--- a/model/store_position.ts
+++ b/model/store_position.ts
@@ -1,8 +1,8 @@
 /**
  * Total order of changes in the store: by era, then by revision.
  *
- * A store that is restored from a backup reuses revision numbers, so the revision alone does not order two changes. The
- * era increases with each restore.
+ * A store that is restored from a backup reuses revision numbers, so the revision alone does not
+ * order two changes. The era increases with each restore.
  *
  * @module
  */
--- a/policy/evaluate_policy.ts
+++ b/policy/evaluate_policy.ts
@@ -36,7 +36,8 @@
  *
  * @param programs - The service's programs.
  * @param input - Variables of the programs.
- * @returns The decisions; the default is used if a program fails or its result violates the constraints.
+ * @returns The decisions; the default is used if a program fails or its result violates the
+ *   constraints.
  */
 export function evaluatePolicies(programs: Programs, input: PolicyInput): PolicyDecision {
   const failures: Array<{ readonly policy: PolicyKind; readonly message: string }> = [];
--- a/policy/mod.ts
+++ b/policy/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Policy programs: CEL expressions that decide on placement, rate limits, retries, refusal and coverage.
+ * Policy programs: CEL expressions that decide on placement, rate limits, retries, refusal and
+ * coverage.
  *
  * @module
  */
--- a/quarantine/_published_records.ts
+++ b/quarantine/_published_records.ts
@@ -1,13 +1,14 @@
 /**
- * Selects the crash records that are published to other boxes, and decides which are published immediately.
+ * Selects the crash records that are published to other boxes, and decides which are published
+ * immediately.
  *
  * @module
  */
 import type { CrashRecord } from "./crash_record.js";
 
 /**
- * Number of crashed leafs from which a record is published even if no request has failed. A single crash is usually
- * unrelated to the query, and another leaf answers it.
+ * Number of crashed leafs from which a record is published even if no request has failed. A single
+ * crash is usually unrelated to the query, and another leaf answers it.
  */
 export const MIN_PUBLISHED_CRASHES = 2;
 
@@ -25,8 +26,8 @@
 }
 
 /**
- * Returns whether a changed record is published immediately. Further crashes alone do not qualify, as a query over many
- * shards can crash dozens of leafs at once.
+ * Returns whether a changed record is published immediately. Further crashes alone do not qualify,
+ * as a query over many shards can crash dozens of leafs at once.
  *
  * @param record - The record after the change.
  * @param previous - The record before the change, if any.
@@ -40,8 +41,9 @@
 }
 
 /**
- * Selects the records for one datagram. If there are too many, most places go to the latest changes and the remaining
- * ones to other records at random, so that each record is published eventually.
+ * Selects the records for one datagram. If there are more than `maxCount`, most of the selected
+ * records are the latest changes; the others are chosen at random, so that each record is published
+ * eventually.
  *
  * @param all - All records to publish, the latest change last.
  * @param maxCount - Maximum number of records.
--- a/quarantine/crash_record.ts
+++ b/quarantine/crash_record.ts
@@ -1,9 +1,10 @@
 /**
  * State of a crash-inducing query, as pure functions of the current time.
  *
- * A dropped connection is not sufficient evidence: leafs terminate for other reasons too, and then fail all queries that
- * they are running. A crash-inducing query is never answered, even if it is sent to one leaf at a time. It is quarantined
- * after two such trial calls crashed their leaf and three leafs crashed in total; one answer clears it.
+ * A dropped connection is not sufficient evidence: leafs terminate for other reasons too, and then
+ * fail all queries that they are running. A crash-inducing query is never answered, even if it is
+ * sent to one leaf at a time. It is quarantined after two such trial calls crashed their leaf and
+ * three leafs crashed in total; one answer clears it.
  *
  * @module
  */
@@ -28,10 +29,16 @@
   readonly changedAtMs: number;
 }
 
-/** Minimum number of crashed leafs for quarantine; a request and its retry may hit two unrelated crashes. */
+/**
+ * Minimum number of crashed leafs for quarantine; a request and its retry may hit two unrelated
+ * crashes.
+ */
 export const MIN_CRASHED_LEAFS = 3;
 
-/** Minimum number of crashed trial calls for quarantine; a single one may be caused by another query on the same leaf. */
+/**
+ * Minimum number of crashed trial calls for quarantine; a single one may be caused by another query
+ * on the same leaf.
+ */
 const MIN_CRASHED_TRIALS = 2;
 
 /** Time after the last change at which a record is dropped, by status, in milliseconds. */
@@ -74,8 +81,8 @@
 }
 
 /**
- * Clears a query that a leaf has answered or that an operator has released. The record is retained for some time, so that
- * an outdated report from another box does not restore the previous status.
+ * Clears a query that a leaf has answered or that an operator has released. The record is retained
+ * for some time, so that an outdated report from another box does not restore the previous status.
  *
  * @param record - The record before the change.
  * @param nowMs - Current time, in milliseconds.
@@ -86,7 +93,10 @@
   return { ...record, ...resetCounts, standing: "cleared", changedAtMs: nowMs };
 }
 
-/** A crash record as exchanged with other boxes and the store. Times are sent as ages, since clocks differ. */
+/**
+ * A crash record as exchanged with other boxes and the store. Times are sent as ages, since clocks
+ * differ.
+ */
 export interface ReportedCrashes
   extends Pick<CrashRecord, "fingerprint" | "standing" | "lostLeafs" | "lostTrials"> {
   /** Time since the first crash, in milliseconds. */
@@ -111,8 +121,8 @@
 }
 
 /**
- * Merges a reported record into this box's own. If either is cleared, the later change wins; otherwise the record with
- * stronger evidence does.
+ * Merges a reported record into this box's own. If either is cleared, the later change wins;
+ * otherwise the record with stronger evidence does.
  *
  * @param own - This box's record, if any.
  * @param reported - The record reported by another box or the store.
--- a/quarantine/quarantine.ts
+++ b/quarantine/quarantine.ts
@@ -1,8 +1,9 @@
 /**
  * Quarantine of crash-inducing queries.
  *
- * A query that crashes every leaf running it, and that callers repeat, can take down an entire index. After the first
- * crash without an answer, its calls are sent one at a time (trial calls); after two crashed trials, all boxes block it.
+ * A query that crashes every leaf running it, and that callers repeat, can take down an entire
+ * index. After the first crash without an answer, its calls are sent one at a time (trial calls);
+ * after two crashed trials, all boxes block it.
  *
  * @module
  */
@@ -32,20 +33,24 @@
   | "exclusive"
   /** Not yet, as a trial is in flight. */
   | "deferred"
-  /** Not for now. */
+  /** Not for now: the query is quarantined, or its trials are left to another box. */
   | "blocked";
 
 /**
- * Time after the first crash during which any box may run trials of a query with at least `MIN_CRASHED_LEAFS` crashes, in
- * milliseconds. All boxes know of the query by then, and a single box runs the later trials. Queries with fewer crashes
- * may be tried by any box at any time, as their crashes are probably unrelated.
+ * Time after the first crash during which any box may run trials of a query with at least
+ * `MIN_CRASHED_LEAFS` crashes, in milliseconds. All boxes know of the query by then, and a single
+ * box runs the later trials. Queries with fewer crashes may be tried by any box at any time, as
+ * their crashes are probably unrelated.
  */
 const ANY_BOX_TRIAL_MS = 1_500;
 
 /** Time after which a trial is considered ended, in milliseconds; longer than usual deadlines. */
 const MAX_TRIAL_MS = 10_000;
 
-/** Time for which a quarantined query is blocked, in milliseconds; after that, one box may try it again. */
+/**
+ * Time for which a quarantined query is blocked, in milliseconds; after that, one box may try it
+ * again.
+ */
 const QUARANTINE_MS = 600_000;
 
 /** Maximum number of records; the oldest are evicted first. */
@@ -58,7 +63,9 @@
 export interface QuarantineChange {
   readonly record: CrashRecord;
   readonly before: CrashRecord | undefined;
-  /** Origin of the change: this box's own observation, or a report from another box or the store. */
+  /**
+   * Origin of the change: this box's own observation, or a report from another box or the store.
+   */
   readonly source: "own" | "reported";
   /** Whether the record is to be published immediately. */
   readonly publishNow: boolean;
@@ -67,7 +74,7 @@
 /** Options of the quarantine. */
 export interface QuarantineOptions {
   readonly nowMs: () => number;
-  /** Returns whether this box is the one that runs later trials of a suspected query. */
+  /** Returns whether this box runs the later trials of a suspected query. */
   readonly isTrialBox: (fingerprint: string) => boolean;
   /** Called after each change. */
   readonly onChange: (change: QuarantineChange) => void;
@@ -96,7 +103,8 @@
   }
 
   /**
-   * Returns whether and how the next call of a query may be sent. Must be checked right before each call.
+   * Returns whether and how the next call of a query may be sent. Must be checked right before each
+   * call.
    *
    * @param fingerprint - Fingerprint of the query.
    * @returns The permission.
@@ -186,8 +194,8 @@
   }
 
   /**
-   * Records that a request ended without an answer from any leaf. Publishes queries to a single leaf, which may never
-   * reach the minimum number of crashes at one box.
+   * Records that a request ended without an answer from any leaf. The query is then published even
+   * after a single crash, as a request to a single leaf may not cause more at one box.
    *
    * @param fingerprint - Fingerprint of the query.
    */
@@ -242,8 +250,9 @@
   }
 
   /**
-   * Selects the records to publish to other boxes. If there are too many, most places go to the latest changes and the
-   * remaining ones to other records at random, so that each record is published eventually.
+   * Selects the records to publish to other boxes. If there are more than `maxCount`, most of the
+   * selected records are the latest changes; the others are chosen at random, so that each record
+   * is published eventually.
    *
    * @param maxCount - Maximum number of records.
    * @returns The records to publish.
--- a/quarantine/recent_answers.ts
+++ b/quarantine/recent_answers.ts
@@ -1,5 +1,6 @@
 /**
- * Tracks which queries leafs have recently answered, so that an unrelated crash is not attributed to them.
+ * Tracks which queries leafs have recently answered, so that an unrelated crash is not attributed
+ * to them.
  *
  * @module
  */
--- a/query/merge_rows.ts
+++ b/query/merge_rows.ts
@@ -6,7 +6,8 @@
 import type { MergeSpec, Row } from "../model/mod.js";
 
 /**
- * Merges rows in the order of the shards, or ordered by a field with ties in the order of the shards.
+ * Merges rows in the order of the shards, or ordered by a field with ties in the order of the
+ * shards.
  *
  * @param parts - Rows of each shard, in the order of the snapshot's shards.
  * @param merge - Field to order by and maximum number of rows.
--- a/query/naive_gather.ts
+++ b/query/naive_gather.ts
@@ -1,5 +1,6 @@
 /**
- * Reference implementation of scatter-gather over a complete set of answers, for comparison with the engine.
+ * Reference implementation of scatter-gather over a complete set of answers, for comparison with
+ * the engine.
  *
  * @module
  */
--- a/query/snapshot_group.ts
+++ b/query/snapshot_group.ts
@@ -1,5 +1,6 @@
 /**
- * The shards of one snapshot and their outcomes within a query. Rows of different groups are never merged.
+ * The shards of one snapshot and their outcomes within a query. Rows of different groups are never
+ * merged.
  *
  * @module
  */
--- a/relay/_leaf_call_template.ts
+++ b/relay/_leaf_call_template.ts
@@ -11,7 +11,8 @@
 export type LeafCallTemplate = Omit<LeafCall, "leaf" | "deadlineAtMs">;
 
 /**
- * Creates the properties that all leaf calls of a relay request share. Only requests without a body are relayed.
+ * Creates the properties that all leaf calls of a relay request share. Only requests without a body
+ * are relayed.
  *
  * @param request - The relay request.
  * @returns The shared properties.
--- a/relay/_merged_relay.ts
+++ b/relay/_merged_relay.ts
@@ -1,6 +1,7 @@
 /**
- * Handles relay requests for merged parts: calls local leafs for another box and merges their parts. The parts that arrive
- * within the typical latency are sent in one frame, later ones as they arrive.
+ * Handles relay requests for merged parts: calls local leafs for another box and merges their
+ * parts. The parts that arrive within the typical latency are sent in one frame, later ones as they
+ * arrive.
  *
  * @module
  */
@@ -26,13 +27,19 @@
 import { encodeRelayFrame } from "./relay_frames.js";
 import type { MergedRelayRequest } from "./relay_request.js";
 
-/** The first frame is sent after this multiple of the leafs' typical latency, so that a slow leaf does not delay it. */
+/**
+ * The first frame is sent after this multiple of the leafs' typical latency, so that a slow leaf
+ * does not delay it.
+ */
 const FIRST_FRAME_LATENCY_FACTOR = 1.8;
 
 /** Margin added to that time, in milliseconds. */
 const FIRST_FRAME_MARGIN_MS = 4;
 
-/** Maximum queueing delay at a full leaf, as a multiple of the request's wait limit; calls above it are declined. */
+/**
+ * Maximum queueing delay at a full leaf, as a multiple of the request's wait limit; calls above it
+ * are declined.
+ */
 const MAX_QUEUE_FACTOR = 1.5;
 
 interface LocalPart {
@@ -52,7 +59,10 @@
   #failed = new Map<string, FailedPart>();
   #openCount = 0;
   #hasFlushed = false;
-  /** Queueing delays at the called leafs, in milliseconds, until they are reported with the first frame. */
+  /**
+   * Queueing delays at the called leafs, in milliseconds, until they are reported with the first
+   * frame.
+   */
   #queuesMs: Array<number> = [];
   /** The top records sent so far. */
   #sentRecords: Buffer = Buffer.alloc(0);
@@ -153,7 +163,10 @@
     }
   }
 
-  /** Sends a frame even without parts, so that the requesting box knows that the connection is alive. */
+  /**
+   * Sends a frame even without parts, so that the requesting box knows that the connection is
+   * alive.
+   */
   #sendFirstFrame(): void {
     if (this.#pendingParts.length === 0 && !this.#response.destroyed) {
       this.#response.write(EMPTY_FRAME);
--- a/relay/_relay_response_reader.ts
+++ b/relay/_relay_response_reader.ts
@@ -21,7 +21,10 @@
 export interface RelayObserver {
   /** Called once with the result of the request. */
   onResult(result: RelayResult): void;
-  /** Called with the queueing delay at the box's local leafs, in milliseconds, as reported in the first frame. */
+  /**
+   * Called with the queueing delay at the box's local leafs, in milliseconds, as reported in the
+   * first frame.
+   */
   onQueue(queueMs: number): void;
   /** Called once when the request has ended. */
   onEnded(): void;
--- a/relay/_separate_relay.ts
+++ b/relay/_separate_relay.ts
@@ -1,5 +1,6 @@
 /**
- * Handles relay requests for separate parts: calls the leafs that another box names, and sends each part as it arrives.
+ * Handles relay requests for separate parts: calls the leafs that another box names, and sends each
+ * part as it arrives.
  *
  * @module
  */
--- a/relay/mod.ts
+++ b/relay/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Relaying of leaf calls between regions: a box calls its local leafs on behalf of boxes in other regions.
+ * Relaying of leaf calls between regions: a box calls its local leafs on behalf of boxes in other
+ * regions.
  *
  * @module
  */
--- a/relay/relay_calls.ts
+++ b/relay/relay_calls.ts
@@ -27,8 +27,8 @@
 const ASSUMED_LATENCY_MS = 60;
 
 /**
- * Time after the wait limit of a merged request at which an unresponsive connection is closed, in milliseconds. The relaying
- * box sends a frame at the wait limit even if it has no parts.
+ * Time after the wait limit of a merged request at which an unresponsive connection is closed, in
+ * milliseconds. The relaying box sends a frame at the wait limit even if it has no parts.
  */
 const UNRESPONSIVE_MARGIN_MS = 1_000;
 
@@ -192,8 +192,8 @@
   }
 
   /**
-   * Aborts requests whose deadline has passed or whose connection is unresponsive. After an unresponsive connection, none of
-   * the existing connections to that box is used again.
+   * Aborts requests whose deadline has passed or whose connection is unresponsive. After an
+   * unresponsive connection, none of the existing connections to that box is used again.
    */
   abortOverdue(): void {
     const nowMs = this.#nowMs();
@@ -234,7 +234,9 @@
   return `http://${address}:${peerPort}`;
 }
 
-/** Returns the time by which the first frame must arrive. For separate parts, that is the deadline. */
+/**
+ * Returns the time by which the first frame must arrive. For separate parts, that is the deadline.
+ */
 function firstFrameDeadlineMs(request: RelayRequest, nowMs: number): number {
   return request.kind === "merged"
     ? nowMs + request.waitLimitMs + UNRESPONSIVE_MARGIN_MS
--- a/relay/relay_frames.ts
+++ b/relay/relay_frames.ts
@@ -1,6 +1,7 @@
 /**
- * Wire format of relayed parts: frames of a JSON header and record bytes, each prefixed with its length. Headers refer to
- * services by their index in the relay request, and are deflated where that saves bytes.
+ * Wire format of relayed parts: frames of a JSON header and record bytes, each prefixed with its
+ * length. Headers refer to services by their index in the relay request, and are deflated where
+ * that saves bytes.
  *
  * @module
  */
@@ -8,8 +9,9 @@
 import type { FailedPart, RelayedParts } from "../request/mod.js";
 
 /**
- * Header of a frame: service indexes and signatures in alternation, the queueing delay in milliseconds, then the indexes of
- * services without a part, one list per reason. Empty trailing items are omitted.
+ * Header of a frame: service indexes and signatures in alternation, the queueing delay in
+ * milliseconds, then the indexes of services without a part, one list per reason. Empty trailing
+ * items are omitted.
  */
 type FrameHeader = readonly [
   signatures: ReadonlyArray<number | string>,
--- a/relay/relay_request.ts
+++ b/relay/relay_request.ts
@@ -1,5 +1,6 @@
 /**
- * Wire format of relay requests: a deflated JSON array. Fields are identified by position to reduce traffic between regions.
+ * Wire format of relay requests: a deflated JSON array. Fields are identified by position to reduce
+ * traffic between regions.
  *
  * @module
  */
@@ -46,7 +47,10 @@
 /** A request from one box to another to call leafs. */
 export type RelayRequest = MergedRelayRequest | SeparateRelayRequest;
 
-/** Fields of a relay request, in this order. Validated so that a malformed request cannot crash the relaying box. */
+/**
+ * Fields of a relay request, in this order. Validated so that a malformed request cannot crash the
+ * relaying box.
+ */
 const REQUEST_FIELDS = [
   z.string(), // request ID
   z.string(), // method
--- a/relay/relay_server.ts
+++ b/relay/relay_server.ts
@@ -55,7 +55,9 @@
   });
 }
 
-/** Starts the response without headers that boxes do not need. The connection stays open regardless. */
+/**
+ * Starts the response without headers that boxes do not need. The connection stays open regardless.
+ */
 function startResponse(response: ServerResponse): void {
   response.sendDate = false;
   response.removeHeader("connection");
