--- a/pool/take_call.ts
+++ b/pool/call_admission.ts
@@ -1,5 +1,6 @@
 /**
- * Taking an entry's call: shared, queued or refused at once as not run.
+ * Admission of calls from entries: a call joins an identical one, is queued, or is refused without
+ * being run.
  *
  * @module
  */
@@ -21,14 +22,14 @@
   type Waiter,
 } from "./pool_state.js";
 
-/** Most calls that wait for one leaf. */
-export const QUEUE_MAX = 256;
+/** Maximum number of calls queued for one leaf. */
+export const MAX_QUEUED_CALLS = 256;
 
 /**
- * Names a leaf among all services.
+ * Returns the key of a leaf, unique across services.
  *
- * @param service - The service.
- * @param leafId - The leaf within it.
+ * @param service - Name of the service.
+ * @param leafId - Id of the leaf within the service.
  * @returns The key.
  */
 export function leafKeyOf(service: string, leafId: string): string {
@@ -41,54 +42,68 @@
 }
 
 /**
- * Takes an entry's call.
+ * Admits or refuses a call. A call that cannot finish in time is refused immediately.
  *
- * @param state - The pool's state.
+ * @param state - State of the pool.
  * @param call - The call.
- * @param context - The entry and the present moment.
- * @returns The step; a call that cannot be run in time is refused at once.
+ * @param context - The entry and the current time.
+ * @returns The new state and the effects.
  */
-export function takeCall(
+export function admitCall(
   state: PoolState,
   call: LeafCall,
   { entryId, nowMs }: CallContext,
 ): PoolStep {
   const key = leafKeyOf(call.service, call.leafId);
   const leaf = state.control.catalog.services.get(call.service)?.leafs.get(call.leafId);
-  const held =
-    state.leafs.get(key) ?? (leaf === undefined ? undefined : openLeaf(state, key, leaf, nowMs));
+  const leafState =
+    state.leafs.get(key) ??
+    (leaf === undefined ? undefined : initialLeafState(state, key, leaf, nowMs));
   const waiter = { entryId, callId: call.callId };
-  if (held === undefined) {
+  if (leafState === undefined) {
     return refuseCall(state, waiter, { reason: "no replica", retryAfterMs: 0 });
   }
   const shareKey = shareKeyOf(call);
   const shared = state.flights.get(state.flightByHash.get(fnv1a(shareKey)) ?? "");
   const deadlineAtMs = nowMs + call.remainingMs;
   const isSame = shareKey !== "" && shared?.shareKey === shareKey;
-  if (isSame && mayJoin(shared, call, nowMs)) {
+  if (isSame && canJoin(shared, call, nowMs)) {
     return joinFlight(state, shared, { waiter, deadlineAtMs });
   }
-  const known = state.leafs.has(key) ? state : putLeaf(state, held);
-  const refusal = refusalOf(held, call);
+  const withLeaf = state.leafs.has(key) ? state : putLeaf(state, leafState);
+  const refusal = checkAdmission(leafState, call);
   return refusal === undefined
-    ? queueCall(known, held, { call, waiter, shareKey, deadlineAtMs, nowMs })
-    : refuseCall(known, waiter, refusal, held);
+    ? queueCall(withLeaf, leafState, { call, waiter, shareKey, deadlineAtMs, nowMs })
+    : refuseCall(withLeaf, waiter, refusal, leafState);
 }
 
-/** A leaf first heard of on a box that is leaving gets no work from the start. */
-export function openLeaf(state: PoolState, key: string, leaf: Leaf, nowMs: number): LeafState {
-  const opened = newLeafState(key, leaf);
-  return isListedLeaving(state, leaf) ? setCondition(opened, "draining", nowMs) : opened;
+/**
+ * Creates the state of a leaf on first use. A leaf on a leaving box starts as draining.
+ *
+ * @param state - State of the pool.
+ * @param key - Key of the leaf.
+ * @param leaf - The leaf.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The state of the leaf.
+ */
+export function initialLeafState(
+  state: PoolState,
+  key: string,
+  leaf: Leaf,
+  nowMs: number,
+): LeafState {
+  const created = newLeafState(key, leaf);
+  return isBoxLeaving(state, leaf) ? setCondition(created, "draining", nowMs) : created;
 }
 
 /**
- * Tells whether the box list says that a leaf's box is leaving.
+ * Checks whether the box list marks the box of a leaf as leaving.
  *
- * @param state - The pool's state.
+ * @param state - State of the pool.
  * @param leaf - The leaf.
- * @returns Whether it does.
+ * @returns Whether the box is leaving.
  */
-export function isListedLeaving(state: PoolState, leaf: Leaf): boolean {
+export function isBoxLeaving(state: PoolState, leaf: Leaf): boolean {
   return state.control.catalog.boxList.boxes.some((box) => box.box === leaf.box && box.leaving);
 }
 
@@ -97,13 +112,16 @@
   return repeatable ? JSON.stringify([rights, service, leafId, snapshot, shard, bodyJson]) : "";
 }
 
-/** Share of a call's time that a flight must have left to be joined. */
-const JOIN_TIME_SHARE = 0.5;
+/** Minimum remaining time of a flight to be joined, as a fraction of the call's remaining time. */
+const MIN_JOIN_TIME_RATIO = 0.5;
 
-/** A flight that is less urgent, or that its leaf may drop long before the deadline, is not joined. */
-function mayJoin(flight: Flight, call: LeafCall, nowMs: number): boolean {
-  const leftMs = flight.deadlineAtMs - nowMs;
-  return flight.priorityRank <= call.priorityRank && leftMs >= call.remainingMs * JOIN_TIME_SHARE;
+/** A flight with a lower priority or a much earlier deadline is not joined. */
+function canJoin(flight: Flight, call: LeafCall, nowMs: number): boolean {
+  const remainingMs = flight.deadlineAtMs - nowMs;
+  return (
+    flight.priorityRank <= call.priorityRank &&
+    remainingMs >= call.remainingMs * MIN_JOIN_TIME_RATIO
+  );
 }
 
 interface Refusal {
@@ -111,9 +129,7 @@
   readonly retryAfterMs: number;
 }
 
-/**
- * Why calls are refused in each condition.
- */
+/** Reason for refusing calls, by condition of the leaf. */
 export const CONDITION_REASONS: Readonly<
   Record<Exclude<LeafState["condition"], "ready">, MissingReason>
 > = {
@@ -122,16 +138,16 @@
   down: "leaf failed",
 };
 
-function refusalOf(leaf: LeafState, call: LeafCall): Refusal | undefined {
+function checkAdmission(leaf: LeafState, call: LeafCall): Refusal | undefined {
   if (leaf.condition !== "ready") {
     return { reason: CONDITION_REASONS[leaf.condition], retryAfterMs: 0 };
   }
   const waitMs = expectedWaitMs(leaf, leaf.queue.length);
-  const lateByMs = waitMs + leaf.serviceTimeMs - call.remainingMs;
-  if (lateByMs > 0 && call.priorityRank > 0) {
-    return { reason: "overloaded", retryAfterMs: Math.ceil(lateByMs) };
+  const overrunMs = waitMs + leaf.serviceTimeMs - call.remainingMs;
+  if (overrunMs > 0 && call.priorityRank > 0) {
+    return { reason: "overloaded", retryAfterMs: Math.ceil(overrunMs) };
   }
-  return leaf.queue.length >= QUEUE_MAX
+  return leaf.queue.length >= MAX_QUEUED_CALLS
     ? { reason: "overloaded", retryAfterMs: Math.ceil(waitMs) }
     : undefined;
 }
--- a/pool/flight_queue.ts
+++ b/pool/flight_queue.ts
@@ -1,5 +1,5 @@
 /**
- * The queue of a leaf, by urgency and deadline, and the sending of what is next.
+ * Queue of calls for a leaf, ordered by priority and deadline, and their dispatch.
  *
  * @module
  */
@@ -19,12 +19,12 @@
 }
 
 /**
- * Queues a call and sends what is next.
+ * Queues a call and dispatches queued calls while the leaf has free slots.
  *
- * @param state - The pool's state.
- * @param leaf - The leaf.
- * @param options - The call and who waits for it.
- * @returns The step.
+ * @param state - State of the pool.
+ * @param leaf - State of the leaf.
+ * @param options - The call, its waiter, its key for sharing and its deadline.
+ * @returns The new state and the effects.
  */
 export function queueCall(
   state: PoolState,
@@ -59,7 +59,7 @@
   return dispatchNext(next, leaf.leafKey, nowMs);
 }
 
-/** More urgent first, then the earlier deadline; equals keep the order of their arrival. */
+/** Orders by priority, then by deadline, then by arrival. */
 function insertByUrgency(
   state: PoolState,
   queue: ReadonlyArray<string>,
@@ -78,47 +78,55 @@
     : flight.priorityRank < other.priorityRank;
 }
 
-/** Sends queued calls while slots are free; one that is too late by now is refused as not run. */
+/**
+ * Dispatches queued calls while slots are free. A call that can no longer meet its deadline is
+ * refused without being run.
+ *
+ * @param state - State of the pool.
+ * @param key - Key of the leaf.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The new state and the effects.
+ */
 export function dispatchNext(state: PoolState, key: string, nowMs: number): PoolStep {
   const leaf = state.leafs.get(key);
   const flightId = leaf?.queue[0];
   if (leaf === undefined || flightId === undefined || leaf.inFlight >= leaf.warmSlots) {
     return step(state);
   }
-  const taken = { ...leaf, queue: leaf.queue.slice(1) };
+  const dequeued = { ...leaf, queue: leaf.queue.slice(1) };
   const flight = state.flights.get(flightId);
   if (flight === undefined) {
-    return dispatchNext(putLeaf(state, taken), key, nowMs);
+    return dispatchNext(putLeaf(state, dequeued), key, nowMs);
   }
-  const isLate = nowMs + leaf.serviceTimeMs * LATE_SHARE >= flight.deadlineAtMs;
-  const sent = isLate
-    ? endFlight(putLeaf(state, taken), flight, {
+  const isLate = nowMs + leaf.serviceTimeMs * MIN_SERVICE_TIME_RATIO >= flight.deadlineAtMs;
+  const handled = isLate
+    ? endFlight(putLeaf(state, dequeued), flight, {
         kind: "refused",
         reason: "overloaded",
         retryAfterMs: 0,
       })
-    : sendFlight(state, taken, { flight, nowMs });
-  return andThen(sent, (next) => dispatchNext(next, key, nowMs));
+    : sendFlight(state, dequeued, { flight, nowMs });
+  return andThen(handled, (next) => dispatchNext(next, key, nowMs));
 }
 
-/** Share of a call's usual time that must be left when it is sent. */
-const LATE_SHARE = 0.5;
+/** Minimum time left before the deadline at dispatch, as a fraction of the leaf's service time. */
+const MIN_SERVICE_TIME_RATIO = 0.5;
 
 function sendFlight(
   state: PoolState,
   leaf: LeafState,
   { flight, nowMs }: { readonly flight: Flight; readonly nowMs: number },
 ): PoolStep {
-  const busier = { ...leaf, inFlight: leaf.inFlight + 1 };
+  const occupied = { ...leaf, inFlight: leaf.inFlight + 1 };
   const sent = { ...flight, sentAtMs: nowMs };
-  const next = { ...putLeaf(state, busier), flights: state.flights.set(flight.flightId, sent) };
+  const next = { ...putLeaf(state, occupied), flights: state.flights.set(flight.flightId, sent) };
   const fields = { leaf: leaf.leafKey, flightId: flight.flightId };
-  const broken = [
-    ...(busier.inFlight > leaf.leaf.slots ? invariantBroken("slots", fields) : []),
+  const violations = [
+    ...(occupied.inFlight > leaf.leaf.slots ? invariantBroken("slots", fields) : []),
     ...(flight.sentAtMs > 0 ? invariantBroken("one dispatch", fields) : []),
     ...(leaf.condition === "ready" ? [] : invariantBroken("leaving", fields)),
   ];
-  return step<PoolState, PoolEffect>(next, ...broken, {
+  return step<PoolState, PoolEffect>(next, ...violations, {
     kind: "dispatch",
     dispatch: {
       flightId: flight.flightId,
--- a/pool/flights.ts
+++ b/pool/flights.ts
@@ -1,5 +1,5 @@
 /**
- * Flights: calls to leafs with all who wait for them, joined, ended and taken back.
+ * Flights: calls to leafs that identical calls of several entries may share.
  *
  * @module
  */
@@ -10,11 +10,11 @@
 import type { Flight, LeafState, PoolState, PoolStep, Waiter } from "./pool_state.js";
 
 /**
- * Puts a leaf's state in place.
+ * Stores the state of a leaf.
  *
- * @param state - The pool's state.
- * @param leaf - The leaf.
- * @returns The pool's state after that.
+ * @param state - State of the pool.
+ * @param leaf - State of the leaf.
+ * @returns The new state of the pool.
  */
 export function putLeaf(state: PoolState, leaf: LeafState): PoolState {
   return { ...state, leafs: state.leafs.set(leaf.leafKey, leaf) };
@@ -26,12 +26,12 @@
 }
 
 /**
- * Lets one more call wait for a flight.
+ * Adds a call to the waiters of a flight.
  *
- * @param state - The pool's state.
- * @param flight - The flight.
+ * @param state - State of the pool.
+ * @param flight - The flight to join.
  * @param options - The call and its deadline.
- * @returns The step.
+ * @returns The new state and the effects.
  */
 export function joinFlight(
   state: PoolState,
@@ -54,7 +54,7 @@
 }
 
 /**
- * Names a call among those of all entries.
+ * Returns the key of a call, unique across entries.
  *
  * @param waiter - The call.
  * @returns The key.
@@ -63,7 +63,14 @@
   return `${entryId} ${callId}`;
 }
 
-/** Answers all who wait for a flight and forgets it. */
+/**
+ * Removes a flight and sends its outcome to all waiters.
+ *
+ * @param state - State of the pool.
+ * @param flight - The flight.
+ * @param outcome - Outcome of the call.
+ * @returns The new state and the effects.
+ */
 export function endFlight(state: PoolState, flight: Flight, outcome: LeafOutcome): PoolStep {
   const isKeyed = state.flightByHash.get(flight.shareHash) === flight.flightId;
   const next: PoolState = {
@@ -90,11 +97,12 @@
 }
 
 /**
- * Takes a call back; a flight that nobody waits for is dropped or cancelled at its leaf.
+ * Cancels a call. A flight without other waiters is removed from the queue or, if it has been sent,
+ * cancelled at the leaf.
  *
- * @param state - The pool's state.
+ * @param state - State of the pool.
  * @param waiter - The call.
- * @returns The step.
+ * @returns The new state and the effects.
  */
 export function cancelCall(state: PoolState, waiter: Waiter): PoolStep {
   const flightId = state.flightByCall.get(callKey(waiter));
@@ -103,11 +111,14 @@
     return step(state);
   }
   const waiters = flight.waiters.filter((each) => callKey(each) !== callKey(waiter));
-  const left = { ...state, flightByCall: state.flightByCall.delete(callKey(waiter)) };
+  const withoutCall = { ...state, flightByCall: state.flightByCall.delete(callKey(waiter)) };
   if (waiters.length > 0) {
-    return step({ ...left, flights: left.flights.set(flight.flightId, { ...flight, waiters }) });
+    return step({
+      ...withoutCall,
+      flights: withoutCall.flights.set(flight.flightId, { ...flight, waiters }),
+    });
   }
-  return flight.sentAtMs === 0 ? dropQueued(left, flight) : cancelSent(left, flight);
+  return flight.sentAtMs === 0 ? dropQueued(withoutCall, flight) : cancelSent(withoutCall, flight);
 }
 
 function dropQueued(state: PoolState, flight: Flight): PoolStep {
@@ -128,7 +139,7 @@
   return { ...dropped, state: putLeaf(dropped.state, { ...leaf, queue }) };
 }
 
-/** The leaf is told, and its slot counts as taken until it answers; the connection stays. */
+/** Cancels the call at the leaf. The slot stays occupied until the leaf answers. */
 function cancelSent(state: PoolState, flight: Flight): PoolStep {
   const isKeyed = state.flightByHash.get(flight.shareHash) === flight.flightId;
   const next: PoolState = {
--- a/pool/leaf_condition.ts
+++ b/pool/leaf_condition.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a leaf takes calls: what it signals, what the box list says and what the pool sees. Each
- * of them alone suffices to stop new work.
+ * Condition of a leaf, derived from its own signals, the box list and failures seen by the pool. Any
+ * one of these sources is enough to stop new calls.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 import type { LeafSignal } from "./pool_messages.js";
 import type { LeafCondition, LeafState } from "./pool_state.js";
 
-/** Time a leaf counts as leaving after it last said so, whatever it says then, in milliseconds. */
+/** Time for which a draining leaf ignores a ready signal, in milliseconds. */
 export const DRAIN_HOLD_MS = 30_000;
 
-/** Time a leaf that cannot be reached is left alone, in milliseconds. */
+/** Time for which an unreachable leaf ignores a ready signal, in milliseconds. */
 const DOWN_HOLD_MS = 500;
 
-/** Failures in a row after which a leaf counts as down. */
+/** Consecutive failures after which a leaf is down. */
 const DOWN_AFTER_FAILURES = 2;
 
-/** Shortest time that a call counts for, in milliseconds. */
-const SHORTEST_MS = 0.1;
+/** Minimum service time recorded for a call, in milliseconds. */
+const MIN_SERVICE_TIME_MS = 0.1;
 
-/** Most that one observation counts for in the mean, as a multiple of it. */
+/** Maximum weight of one sample in the mean service time, as a multiple of that mean. */
 const OUTLIER_FACTOR = 4;
 
 const HOLD_MS: Readonly<Record<LeafCondition, number>> = {
@@ -33,66 +33,69 @@
 };
 
 /**
- * Takes in what a leaf signals of itself.
+ * Applies the state that a leaf signals. A ready signal is ignored while the current condition is
+ * held.
  *
- * @param state - The leaf so far.
- * @param signal - What it says.
- * @param nowMs - The present moment.
- * @returns The leaf after that; a leaf held as leaving does not come back by its own word alone.
+ * @param state - State of the leaf.
+ * @param signal - The signal.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The new state of the leaf.
  */
-export function takeSignal(state: LeafState, signal: LeafSignal, nowMs: number): LeafState {
-  if (signal === "ready" && nowMs < state.heldUntilMs) {
+export function applySignal(state: LeafState, signal: LeafSignal, nowMs: number): LeafState {
+  if (signal === "ready" && nowMs < state.conditionHeldUntilMs) {
     return state;
   }
   return setCondition(state, signal, nowMs);
 }
 
 /**
- * Notes that a leaf could not be reached or failed a call.
+ * Records a failed call or probe. After `DOWN_AFTER_FAILURES` consecutive failures the
+ * leaf is down, unless it is draining.
  *
- * @param state - The leaf so far.
- * @param nowMs - The present moment.
- * @returns The leaf after that; down after a few failures in a row.
+ * @param state - State of the leaf.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The new state of the leaf.
  */
-export function noteFailure(state: LeafState, nowMs: number): LeafState {
+export function recordFailure(state: LeafState, nowMs: number): LeafState {
   const failed = { ...state, failures: state.failures + 1 };
   const isDown = failed.failures >= DOWN_AFTER_FAILURES && state.condition !== "draining";
   return isDown ? setCondition(failed, "down", nowMs) : failed;
 }
 
 /**
- * Puts a leaf into a condition.
+ * Sets the condition of a leaf. A leaf that becomes ready again starts with a single slot.
  *
- * @param state - The leaf so far.
- * @param condition - The condition.
- * @param nowMs - The present moment.
- * @returns The leaf after that; one that comes back starts with a single slot.
+ * @param state - State of the leaf.
+ * @param condition - The new condition.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The new state of the leaf.
  */
 export function setCondition(state: LeafState, condition: LeafCondition, nowMs: number): LeafState {
   if (state.condition === condition && condition === "ready") {
     return state;
   }
-  const comesBack = condition === "ready";
+  const isRecovering = condition === "ready";
   return {
     ...state,
     condition,
-    heldUntilMs: nowMs + HOLD_MS[condition],
-    warmSlots: comesBack ? 1 : state.warmSlots,
-    failures: comesBack ? 0 : state.failures,
+    conditionHeldUntilMs: nowMs + HOLD_MS[condition],
+    warmSlots: isRecovering ? 1 : state.warmSlots,
+    failures: isRecovering ? 0 : state.failures,
   };
 }
 
 /**
- * Notes that a leaf answered a call.
+ * Records an answered call: updates the mean service time and, while the leaf is warming up, allows
+ * one more slot.
  *
- * @param state - The leaf so far.
- * @param tookMs - Time from sending to answer.
- * @returns The leaf after that, with one more slot in use after a cold start.
+ * @param state - State of the leaf.
+ * @param tookMs - Time from dispatch to answer, in milliseconds.
+ * @returns The new state of the leaf.
  */
-export function noteAnswer(state: LeafState, tookMs: number): LeafState {
+export function recordAnswer(state: LeafState, tookMs: number): LeafState {
   return {
     ...state,
-    serviceTimeMs: updateClampedMean(state.serviceTimeMs, Math.max(SHORTEST_MS, tookMs), {
+    serviceTimeMs: updateClampedMean(state.serviceTimeMs, Math.max(MIN_SERVICE_TIME_MS, tookMs), {
       outlierFactor: OUTLIER_FACTOR,
     }),
     warmSlots: Math.min(state.leaf.slots, state.warmSlots + 1),
@@ -101,11 +104,11 @@
 }
 
 /**
- * Works out how long a call of some urgency would wait for a slot.
+ * Estimates how long a call would wait for a slot.
  *
- * @param state - The leaf.
- * @param ahead - Calls queued before it.
- * @returns Milliseconds.
+ * @param state - State of the leaf.
+ * @param ahead - Number of calls queued before it.
+ * @returns Expected wait, in milliseconds.
  */
 export function expectedWaitMs(state: LeafState, ahead: number): number {
   const busy = state.inFlight >= state.warmSlots ? 1 : 0;
@@ -113,9 +116,9 @@
 }
 
 /**
- * Makes the report of a leaf for entries.
+ * Builds the report of a leaf for entries.
  *
- * @param state - The leaf.
+ * @param state - State of the leaf.
  * @returns The report.
  */
 export function reportLeaf(state: LeafState): LeafReport {
@@ -129,12 +132,12 @@
 }
 
 /**
- * Makes the log line of a leaf whose condition has changed.
+ * Builds the log line for a changed condition.
  *
- * @param state - The leaf.
+ * @param state - State of the leaf.
  * @returns The effect.
  */
-export function conditionLog(state: LeafState) {
+export function conditionChangeLog(state: LeafState) {
   return logInfo("leaf", `${state.leafKey} is ${state.condition}`, {
     server: state.leaf.serverId,
   });
--- a/pool/mod.ts
+++ b/pool/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The pool daemon: owns leafs' connections and slots.
+ * The pool daemon, which owns the connections and slots of leafs.
  *
  * @module
  */
--- a/pool/pool_core.ts
+++ b/pool/pool_core.ts
@@ -1,8 +1,8 @@
 /**
- * The pool's core: one reducer over all events, as an xstate logic.
+ * Core of the pool: a single reducer over all events, wrapped as xstate logic.
  *
  * Each leaf has one queue, ordered by priority and deadline, and never more calls in flight than
- * slots. A call that would miss its deadline is refused at once as not run.
+ * slots. A call that would miss its deadline is refused immediately, without being run.
  *
  * @module
  */
@@ -10,16 +10,17 @@
 import { type ControlOptions, isControlEvent, stepControl } from "../control/mod.js";
 import { andThen, type CoreEvent, countOne, forEachStep, logInfo, step } from "../core/mod.js";
 import { lifecyclePhase, transitionLifecycle } from "../lifecycle/mod.js";
+import { admitCall } from "./call_admission.js";
 import { dispatchNext } from "./flight_queue.js";
 import { cancelCall, endFlight, putLeaf } from "./flights.js";
 import {
-  changeLeaf,
-  followCatalog,
+  applyCatalog,
   onLeafProbed,
-  probeOwned,
-  repeatReports,
+  probeLeafs,
+  resendReports,
+  updateLeaf,
 } from "./leaf_changes.js";
-import { noteAnswer, noteFailure, reportLeaf, takeSignal } from "./leaf_condition.js";
+import { applySignal, recordAnswer, recordFailure, reportLeaf } from "./leaf_condition.js";
 import type { LeafOutcome, PoolEffect, PoolEvent } from "./pool_messages.js";
 import {
   type Flight,
@@ -28,7 +29,6 @@
   type PoolState,
   type PoolStep,
 } from "./pool_state.js";
-import { takeCall } from "./take_call.js";
 
 type OwnEvent = Exclude<PoolEvent, Parameters<typeof stepControl>[1]>;
 
@@ -42,17 +42,17 @@
 const HANDLERS: Handlers = {
   callsArrived: onCallsArrived,
   entryOpened: onEntryOpened,
-  entryLost: onEntryLost,
+  entryLost: onEntryDisconnected,
   leafAnswered: onLeafAnswered,
   leafProbed: onLeafProbed,
 };
 
 /**
- * Runs one event through the pool's core.
+ * Applies one event to the state of the pool.
  *
- * @param state - State so far.
- * @param event - What happened.
- * @returns State after that and what is to be done.
+ * @param state - State of the pool.
+ * @param event - The event.
+ * @returns The new state and the effects to run.
  */
 export function stepPool(state: PoolState, event: PoolEvent): PoolStep {
   const handled = isControlEvent(event)
@@ -63,11 +63,13 @@
 
 function handleControl(state: PoolState, event: Parameters<typeof stepControl>[1]): PoolStep {
   const { state: control, effects } = stepControl(state.control, event);
-  const made: PoolStep = { state: { ...state, control }, effects };
+  const controlled: PoolStep = { state: { ...state, control }, effects };
   const catalogChanged = control.catalog !== state.control.catalog;
-  const updated = catalogChanged ? andThen(made, (next) => followCatalog(next, event.nowMs)) : made;
+  const updated = catalogChanged
+    ? andThen(controlled, (next) => applyCatalog(next, event.nowMs))
+    : controlled;
   return event.kind === "controlTick"
-    ? andThen(andThen(updated, probeOwned), repeatReports)
+    ? andThen(andThen(updated, probeLeafs), resendReports)
     : updated;
 }
 
@@ -82,7 +84,7 @@
     (next, callId) => cancelCall(next, { entryId, callId }),
   );
   return forEachStep(cancelled, event.calls, (next, call) =>
-    takeCall(next, call, { entryId, nowMs }),
+    admitCall(next, call, { entryId, nowMs }),
   );
 }
 
@@ -99,15 +101,15 @@
     : step<PoolState, PoolEffect>(opened, { kind: "reply", entryId, results: [], reports });
 }
 
-function onEntryLost(
+function onEntryDisconnected(
   state: PoolState,
   { entryId }: Extract<PoolEvent, { readonly kind: "entryLost" }>,
 ): PoolStep {
-  const lost = { ...state, entries: state.entries.delete(entryId) };
+  const withoutEntry = { ...state, entries: state.entries.delete(entryId) };
   const calls = [...state.flights.values()].flatMap((flight) =>
     flight.waiters.filter((waiter) => waiter.entryId === entryId),
   );
-  return forEachStep(step<PoolState, PoolEffect>(lost), calls, cancelCall);
+  return forEachStep(step<PoolState, PoolEffect>(withoutEntry), calls, cancelCall);
 }
 
 function onLeafAnswered(
@@ -121,47 +123,47 @@
     return step<PoolState, PoolEffect>(state, countOne("pool.late_answers"));
   }
   const freed = { ...leaf, inFlight: leaf.inFlight - 1 };
-  const noted = OUTCOME_NOTES[outcome.kind](freed, { flight, nowMs });
-  const signalled = signal === undefined ? noted : takeSignal(noted, signal, nowMs);
-  const changed = changeLeaf(putLeaf(state, freed), leaf, signalled);
+  const recorded = OUTCOME_HANDLERS[outcome.kind](freed, { flight, nowMs });
+  const signalled = signal === undefined ? recorded : applySignal(recorded, signal, nowMs);
+  const changed = updateLeaf(putLeaf(state, freed), leaf, signalled);
   return andThen(
     andThen(changed, (next) => endFlight(next, flight, outcome)),
     (next) => dispatchNext(next, leaf.leafKey, nowMs),
   );
 }
 
-interface NoteContext {
+interface OutcomeContext {
   readonly flight: Flight;
   readonly nowMs: number;
 }
 
-const OUTCOME_NOTES: Readonly<
-  Record<LeafOutcome["kind"], (leaf: LeafState, context: NoteContext) => LeafState>
+const OUTCOME_HANDLERS: Readonly<
+  Record<LeafOutcome["kind"], (leaf: LeafState, context: OutcomeContext) => LeafState>
 > = {
-  answered: (leaf, { flight, nowMs }) => noteAnswer(leaf, nowMs - flight.sentAtMs),
+  answered: (leaf, { flight, nowMs }) => recordAnswer(leaf, nowMs - flight.sentAtMs),
   refused: (leaf) => ({ ...leaf, failures: 0 }),
   failed: (leaf, { flight, nowMs }) =>
-    // A call cancelled for lack of waiters says nothing against the leaf.
-    flight.waiters.length === 0 ? leaf : noteFailure(leaf, nowMs),
+    // A call cancelled by its last waiter does not count as a failure of the leaf.
+    flight.waiters.length === 0 ? leaf : recordFailure(leaf, nowMs),
 };
 
-/** A pool that leaves hands its leafs over and ends once nothing is queued or in flight. */
-function stopWhenDrained(made: PoolStep): PoolStep {
-  const { control, flights } = made.state;
+/** Stops a leaving pool once no calls are queued or in flight. */
+function stopWhenDrained(current: PoolStep): PoolStep {
+  const { control, flights } = current.state;
   if (lifecyclePhase(control.lifecycle) !== "finishing" || !flights.isEmpty()) {
-    return made;
+    return current;
   }
   const lifecycle = transitionLifecycle(control.lifecycle, "drained");
-  const stopped = { ...made.state, control: { ...control, lifecycle } };
+  const stopped = { ...current.state, control: { ...control, lifecycle } };
   const log = logInfo("lifecycle", "is stopped");
-  return { state: stopped, effects: [...made.effects, log, { kind: "stop" }] };
+  return { state: stopped, effects: [...current.effects, log, { kind: "stop" }] };
 }
 
 /**
- * Makes the core's xstate logic; its context is the last step.
+ * Creates the xstate logic of the core. Its context is the result of the last step.
  *
  * @param options - Settings of the control slice.
- * @returns The logic.
+ * @returns The xstate logic.
  */
 export function poolLogic(options: ControlOptions) {
   return fromTransition(
--- a/pool/pool_core_test.ts
+++ b/pool/pool_core_test.ts
@@ -73,24 +73,27 @@
   return effects.flatMap((effect) => (effect.kind === "reply" ? effect.results : []));
 }
 
-t.test("the pool keeps to a leaf's slots and sends the most urgent next", async (t) => {
-  const pool = new PoolHarness();
-  const first = dispatches(pool.call("a"));
-  t.equal(first.length + dispatches(pool.call("b")).length, 2);
-  t.equal(dispatches(pool.call("late", { priorityRank: 3 })).length, 0);
-  t.equal(dispatches(pool.call("soon", { priorityRank: 0 })).length, 0);
-  pool.nowMs += 5;
-  const next = dispatches(pool.end(first[0]?.flightId ?? "", ROWS));
-  t.equal(next[0]?.bodyJson, "soon");
-});
-
-t.test("the pool asks identical calls of one scope of rights once", async (t) => {
+t.test(
+  "the pool respects the slots of a leaf and dispatches the most urgent call next",
+  async (t) => {
+    const pool = new PoolHarness();
+    const first = dispatches(pool.call("a"));
+    t.equal(first.length + dispatches(pool.call("b")).length, 2);
+    t.equal(dispatches(pool.call("late", { priorityRank: 3 })).length, 0);
+    t.equal(dispatches(pool.call("soon", { priorityRank: 0 })).length, 0);
+    pool.nowMs += 5;
+    const next = dispatches(pool.end(first[0]?.flightId ?? "", ROWS));
+    t.equal(next[0]?.bodyJson, "soon");
+  },
+);
+
+t.test("the pool sends identical calls with the same rights once", async (t) => {
   const pool = new PoolHarness();
   const [flight] = dispatches(pool.call("a", { bodyJson: "same" }));
   t.equal(dispatches(pool.call("b", { bodyJson: "same" })).length, 0);
   t.equal(dispatches(pool.call("c", { bodyJson: "same", rights: "other" })).length, 1);
-  const told = results(pool.end(flight?.flightId ?? "", ROWS)).map((result) => result.callId);
-  t.same(told, ["a", "b"]);
+  const callIds = results(pool.end(flight?.flightId ?? "", ROWS)).map((result) => result.callId);
+  t.same(callIds, ["a", "b"]);
 });
 
 t.test("the pool never shares a call that is not repeatable", async (t) => {
@@ -99,21 +102,28 @@
   t.equal(dispatches(pool.call("a", once)).length + dispatches(pool.call("b", once)).length, 2);
 });
 
-t.test("the pool gives queued work back as not run when its leaf begins to leave", async (t) => {
-  const pool = new PoolHarness();
-  for (const callId of ["a", "b", "c"]) {
-    pool.call(callId);
-  }
-  const leafKey = "wide leaf-0";
-  const { nowMs } = pool;
-  const effects = pool.send({ kind: "leafProbed", nowMs, leafKey, signal: "draining" });
-  t.match(results(effects), [{ kind: "refused", callId: "c", reason: "leaving" }]);
-  t.match(results(pool.call("d")), [{ kind: "refused", reason: "leaving" }]);
-  pool.send({ kind: "leafProbed", nowMs: nowMs + 1_000, leafKey, signal: "ready" });
-  t.match(results(pool.call("e")), [{ kind: "refused" }], "its own word does not bring it back");
-});
-
-t.test("the pool gives no work to a server whose box the list says is leaving", async (t) => {
+t.test(
+  "the pool refuses queued calls without running them when their leaf starts draining",
+  async (t) => {
+    const pool = new PoolHarness();
+    for (const callId of ["a", "b", "c"]) {
+      pool.call(callId);
+    }
+    const leafKey = "wide leaf-0";
+    const { nowMs } = pool;
+    const effects = pool.send({ kind: "leafProbed", nowMs, leafKey, signal: "draining" });
+    t.match(results(effects), [{ kind: "refused", callId: "c", reason: "leaving" }]);
+    t.match(results(pool.call("d")), [{ kind: "refused", reason: "leaving" }]);
+    pool.send({ kind: "leafProbed", nowMs: nowMs + 1_000, leafKey, signal: "ready" });
+    t.match(
+      results(pool.call("e")),
+      [{ kind: "refused" }],
+      "a ready signal does not end draining early",
+    );
+  },
+);
+
+t.test("the pool sends no calls to a leaf on a leaving box", async (t) => {
   const pool = new PoolHarness();
   const boxes = [
     {
@@ -130,20 +140,23 @@
   t.match(results(pool.call("a")), [{ kind: "refused", reason: "leaving" }]);
 });
 
-t.test("the pool refuses at once what would miss its deadline in the queue", async (t) => {
-  const pool = new PoolHarness();
-  const [flight] = dispatches(pool.call("a"));
-  pool.nowMs += 100;
-  pool.end(flight?.flightId ?? "", ROWS);
-  pool.call("b");
-  pool.call("c");
-  pool.call("d");
-  t.match(results(pool.call("e", { remainingMs: 120 })), [
-    { kind: "refused", reason: "overloaded" },
-  ]);
-});
-
-t.test("the pool cancels at the leaf without freeing the slot before its answer", async (t) => {
+t.test(
+  "the pool immediately refuses a call that would miss its deadline in the queue",
+  async (t) => {
+    const pool = new PoolHarness();
+    const [flight] = dispatches(pool.call("a"));
+    pool.nowMs += 100;
+    pool.end(flight?.flightId ?? "", ROWS);
+    pool.call("b");
+    pool.call("c");
+    pool.call("d");
+    t.match(results(pool.call("e", { remainingMs: 120 })), [
+      { kind: "refused", reason: "overloaded" },
+    ]);
+  },
+);
+
+t.test("the pool keeps the slot of a cancelled call until the leaf answers", async (t) => {
   const pool = new PoolHarness();
   const [flight] = dispatches(pool.call("a"));
   const effects = pool.cancel("a");
@@ -154,13 +167,16 @@
   t.equal(pool.state.leafs.get("wide leaf-0")?.inFlight, 0);
 });
 
-t.test("the pool brings a leaf back with one slot and widens with its answers", async (t) => {
-  const pool = new PoolHarness();
-  const leafKey = "wide leaf-0";
-  pool.send({ kind: "leafProbed", nowMs: pool.nowMs, leafKey, signal: "cold" });
-  pool.send({ kind: "leafProbed", nowMs: pool.nowMs + 10, leafKey, signal: "ready" });
-  const [flight] = dispatches(pool.call("a"));
-  t.equal(dispatches(pool.call("b")).length, 0);
-  t.equal(dispatches(pool.end(flight?.flightId ?? "", ROWS)).length, 1);
-  t.equal(dispatches(pool.call("c")).length, 1);
-});
+t.test(
+  "the pool starts a recovered leaf with one slot and adds one with each answer",
+  async (t) => {
+    const pool = new PoolHarness();
+    const leafKey = "wide leaf-0";
+    pool.send({ kind: "leafProbed", nowMs: pool.nowMs, leafKey, signal: "cold" });
+    pool.send({ kind: "leafProbed", nowMs: pool.nowMs + 10, leafKey, signal: "ready" });
+    const [flight] = dispatches(pool.call("a"));
+    t.equal(dispatches(pool.call("b")).length, 0);
+    t.equal(dispatches(pool.end(flight?.flightId ?? "", ROWS)).length, 1);
+    t.equal(dispatches(pool.call("c")).length, 1);
+  },
+);
--- a/pool/pool_messages.ts
+++ b/pool/pool_messages.ts
@@ -1,5 +1,5 @@
 /**
- * Events and effects of the pool's core: its ports to entries, leafs and peers.
+ * Events and effects of the pool's core.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 import type { CallResult, LeafCall, LeafReport } from "../entry/entry_messages.js";
 import type { MissingReason } from "../model/mod.js";
 
-/** State that a leaf signals of itself. */
+/** State that a leaf reports about itself. */
 export type LeafSignal = "ready" | "cold" | "draining";
 
-/** One call as it goes to a leaf. */
+/** A call to be sent to a leaf. */
 export interface Dispatch {
   readonly flightId: string;
   readonly leaf: Leaf;
@@ -24,7 +24,7 @@
   readonly timeoutMs: number;
 }
 
-/** What became of a dispatched call at its leaf. */
+/** Outcome of a dispatched call. */
 export type LeafOutcome =
   | {
       readonly kind: "answered";
@@ -41,11 +41,11 @@
   | {
       readonly kind: "failed";
       readonly reason: MissingReason;
-      /** Whether no byte of the call can have reached the leaf. */
+      /** Whether it is certain that no byte of the call was sent. */
       readonly notSent: boolean;
     };
 
-/** What happens to a pool. */
+/** Events handled by the pool's core. */
 export type PoolEvent =
   | ControlEvent
   | {
@@ -62,18 +62,18 @@
       readonly nowMs: number;
       readonly flightId: string;
       readonly outcome: LeafOutcome;
-      /** State that the leaf signalled with its answer, if any. */
+      /** State reported with the answer, if any. */
       readonly signal: LeafSignal | undefined;
     }
   | {
       readonly kind: "leafProbed";
       readonly nowMs: number;
       readonly leafKey: string;
-      /** Nothing where the leaf did not answer. */
+      /** Undefined if the leaf did not answer. */
       readonly signal: LeafSignal | undefined;
     };
 
-/** What a pool's core asks for. */
+/** Effects requested by the pool's core. */
 export type PoolEffect =
   | ControlEffect
   | TelemetryEffect
--- a/pool/pool_shell.ts
+++ b/pool/pool_shell.ts
@@ -1,5 +1,5 @@
 /**
- * The pool daemon's shell: streams from entries on one side, leafs on the other.
+ * Shell of the pool daemon: connects the core to the streams of entries and to leafs.
  *
  * @module
  */
@@ -27,38 +27,38 @@
 import type { PoolEffect, PoolEvent } from "./pool_messages.js";
 import type { PoolState } from "./pool_state.js";
 
-/** Time that others have to hear of the end before the process is gone, in milliseconds. */
-const END_MS = 100;
+/** Delay before the process ends, so that peers receive its final state, in milliseconds. */
+const SHUTDOWN_DELAY_MS = 100;
 
-/** Time between two words to an entry that waits for calls, in milliseconds. */
-const WORD_MS = 40;
+/** Interval of keepalive messages to an entry with pending calls, in milliseconds. */
+const KEEPALIVE_INTERVAL_MS = 40;
 
 interface EntryStream {
   readonly queue: PushQueue<ResultBatch>;
   results: Array<CallResult>;
   reports: Map<string, LeafReport>;
-  flushing: boolean;
-  /** Calls that the entry waits for. */
-  waiting: number;
+  isFlushScheduled: boolean;
+  /** Number of calls without a result. */
+  pendingCalls: number;
   flushedAtMs: number;
 }
 
-/** Time over which results for one entry are gathered while they come thick, in milliseconds. */
-const GATHER_MS = 2;
+/** Time after a flush within which further results for an entry are batched, in milliseconds. */
+const BATCH_WINDOW_MS = 2;
 
 /** A running pool daemon. */
 export interface PoolDaemon {
   readonly peerPort: number;
-  /** Begins a planned stop. */
+  /** Starts a planned stop. */
   stop(): void;
 }
 
 /**
  * Starts a pool daemon.
  *
- * @param settings - Its settings.
- * @param options - Called when the daemon has ended.
- * @returns The daemon, once it listens.
+ * @param settings - Settings of the daemon.
+ * @param options - Callback for the end of the daemon.
+ * @returns The daemon, once it is listening.
  */
 export async function startPool(
   settings: DaemonSettings,
@@ -90,7 +90,7 @@
         ? {}
         : { ...reportDaemon(current.control, { telemetry, control }), ...reportPool(current) };
     },
-    stop: () => setTimeout(end, END_MS),
+    stop: () => setTimeout(end, SHUTDOWN_DELAY_MS),
   });
 
   async function* serveCalls(batches: AsyncIterable<CallBatch>): AsyncGenerator<ResultBatch> {
@@ -99,8 +99,8 @@
       queue,
       results: [],
       reports: new Map(),
-      waiting: 0,
-      flushing: false,
+      pendingCalls: 0,
+      isFlushScheduled: false,
       flushedAtMs: 0,
     };
     void readCalls(batches, stream);
@@ -108,7 +108,7 @@
   }
 
   async function readCalls(batches: AsyncIterable<CallBatch>, stream: EntryStream): Promise<void> {
-    // A stream's own short name: a run of an entry that comes again is another stream.
+    // Streams are numbered, as a restarted entry opens another stream.
     nextStream += 1;
     const entryId = `s${nextStream}`;
     let isOpen = false;
@@ -117,17 +117,17 @@
         if (!isOpen) {
           isOpen = true;
           streams.set(entryId, stream);
-          // The first message opens the stream for the entry.
+          // An empty batch signals to the entry that the stream is open.
           stream.queue.push(encodeResults([], []));
           send({ kind: "entryOpened", nowMs: nowMs(), entryId });
         }
         const { cancelledCallIds } = batch;
         const calls = batch.calls.map(decodeCall);
         send({ kind: "callsArrived", nowMs: nowMs(), entryId, calls, cancelledCallIds });
-        stream.waiting += calls.length - cancelledCallIds.length;
+        stream.pendingCalls += calls.length - cancelledCallIds.length;
       }
     } catch {
-      // The entry is gone or cut off; what it waits for is dropped below.
+      // The entry disconnected; its pending calls are cancelled below.
     }
     if (streams.get(entryId) === stream) {
       streams.delete(entryId);
@@ -144,17 +144,17 @@
   const leafs = leafClient({ incarnation: self.incarnation });
   const timers = coreTimers<{ readonly kind: string }, PoolEvent>(send, nowMs);
 
-  /** Says a word to each entry that waits and has heard no results for a while. */
-  const words = setInterval(() => {
+  // Keeps the streams of entries with pending calls active.
+  const keepaliveTimer = setInterval(() => {
     for (const stream of streams.values()) {
-      if (stream.waiting > 0 && nowMs() - stream.flushedAtMs >= WORD_MS) {
+      if (stream.pendingCalls > 0 && nowMs() - stream.flushedAtMs >= KEEPALIVE_INTERVAL_MS) {
         flush(stream);
       }
     }
-  }, WORD_MS);
+  }, KEEPALIVE_INTERVAL_MS);
 
   function flush(stream: EntryStream): void {
-    stream.flushing = false;
+    stream.isFlushScheduled = false;
     stream.flushedAtMs = nowMs();
     const batch = encodeResults(stream.results, [...stream.reports.values()]);
     stream.results = [];
@@ -182,14 +182,14 @@
         return;
       }
       stream.results.push(...results);
-      stream.waiting = Math.max(0, stream.waiting - results.length);
+      stream.pendingCalls = Math.max(0, stream.pendingCalls - results.length);
       for (const report of reports) {
         stream.reports.set(`${report.service} ${report.leafId}`, report);
       }
-      if (!stream.flushing) {
-        stream.flushing = true;
-        // A message costs more than a result; while results come thick they travel together.
-        if (nowMs() - stream.flushedAtMs < GATHER_MS) {
+      if (!stream.isFlushScheduled) {
+        stream.isFlushScheduled = true;
+        // A message costs more than a result, so frequent results are sent in batches.
+        if (nowMs() - stream.flushedAtMs < BATCH_WINDOW_MS) {
           setTimeout(() => flush(stream), 1);
         } else {
           setImmediate(() => flush(stream));
@@ -207,7 +207,7 @@
   };
 
   function end(): void {
-    clearInterval(words);
+    clearInterval(keepaliveTimer);
     timers.clearAll();
     server.close();
     leafs.close();
--- a/pool/pool_state.ts
+++ b/pool/pool_state.ts
@@ -9,13 +9,13 @@
 import type { Step } from "../core/mod.js";
 import type { PoolEffect } from "./pool_messages.js";
 
-/** One entry's call that waits for a flight. */
+/** A call of an entry that waits for a flight. */
 export interface Waiter {
   readonly entryId: string;
   readonly callId: string;
 }
 
-/** A call to a leaf, queued or sent, and all who wait for it. */
+/** A queued or sent call to a leaf, with all calls of entries that share it. */
 export interface Flight {
   readonly flightId: string;
   readonly leafKey: string;
@@ -28,48 +28,48 @@
   readonly priorityRank: number;
   readonly deadlineAtMs: number;
   readonly waiters: ReadonlyArray<Waiter>;
-  /** When it was sent; 0 while it is queued. */
+  /** Time of dispatch, in milliseconds; 0 while the call is queued. */
   readonly sentAtMs: number;
 }
 
-/** Why a leaf takes no calls. */
+/** Condition of a leaf. Only a ready leaf receives calls. */
 export type LeafCondition = "ready" | "cold" | "draining" | "down";
 
-/** A leaf as the pool uses it. */
+/** State of a leaf that the pool uses. */
 export interface LeafState {
   readonly leafKey: string;
   readonly leaf: Leaf;
   readonly condition: LeafCondition;
-  /** Until when the condition holds whatever the leaf says. */
-  readonly heldUntilMs: number;
+  /** Time before which a ready signal is ignored, in milliseconds. */
+  readonly conditionHeldUntilMs: number;
   readonly inFlight: number;
-  /** Flights waiting for a slot, the next one first. */
+  /** Ids of the flights that wait for a slot, next one first. */
   readonly queue: ReadonlyArray<string>;
   readonly serviceTimeMs: number;
-  /** Slots in use at most; grows back to all after a cold start. */
+  /** Maximum number of slots in use; grows with each answer while the leaf warms up. */
   readonly warmSlots: number;
   readonly failures: number;
 }
 
-/** The whole state of a pool. */
+/** State of a pool. */
 export interface PoolState {
   readonly control: ControlState;
   readonly leafs: ImmutableMap<string, LeafState>;
   readonly flights: ImmutableMap<string, Flight>;
-  /** Flights that may be shared, by the hash of their key; the key itself is compared too. */
+  /** Shareable flights by the hash of their share key. Lookups must also compare the key itself. */
   readonly flightByHash: ImmutableMap<number, string>;
   readonly flightByCall: ImmutableMap<string, string>;
   readonly entries: ImmutableSet<string>;
   readonly nextId: number;
 }
 
-/** One step of the pool's core. */
+/** Result of one step of the pool's core. */
 export type PoolStep = Step<PoolState, PoolEffect>;
 
 /**
- * Makes the state of a pool that has not started yet.
+ * Creates the state of a pool that has not started yet.
  *
- * @param options - Settings of its control slice.
+ * @param options - Settings of the control slice.
  * @returns The state.
  */
 export function newPoolState(options: ControlOptions): PoolState {
@@ -85,9 +85,9 @@
 }
 
 /**
- * Makes the state of a leaf that nothing is known of.
+ * Creates the state of a leaf that has not been used or probed yet.
  *
- * @param leafKey - Service and name of the leaf.
+ * @param leafKey - Key of the leaf.
  * @param leaf - The leaf.
  * @returns The state.
  */
@@ -96,7 +96,7 @@
     leafKey,
     leaf,
     condition: "ready",
-    heldUntilMs: 0,
+    conditionHeldUntilMs: 0,
     inFlight: 0,
     queue: [],
     serviceTimeMs: 0,
