--- a/backend/leaf_client.ts
+++ b/backend/leaf_client.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to leafs, kept warm and kept below each leaf's cap.
+ * HTTP client for leafs, with persistent connections limited by each leaf's connection cap.
  *
  * @module
  */
@@ -10,50 +10,50 @@
   LEAF_HEADERS,
   LEAF_PATHS,
   MAX_ANSWER_BYTES,
+  parseSignal,
   readLeafAnswer,
-  readSignal,
 } from "./leaf_protocol.js";
 
-/** What became of a call, with what the leaf signalled beside it. */
-export interface LeafCallEnd {
+/** Outcome of a call, with the state that the leaf reported in its answer. */
+export interface LeafCallResult {
   readonly outcome: LeafOutcome;
   readonly signal: LeafSignal | undefined;
 }
 
-/** Calls to leafs. */
+/** Client for calls to leafs. */
 export interface LeafClient {
-  /** Sends a call and tells its end exactly once. */
-  dispatch(dispatch: Dispatch, end: (end: LeafCallEnd) => void): void;
-  /** Tells a leaf that a call is not wanted any more; the connection stays. */
+  /** Sends a call. `onEnd` is called exactly once. */
+  dispatch(dispatch: Dispatch, onEnd: (result: LeafCallResult) => void): void;
+  /** Asks a leaf to cancel a call, and keeps the call's connection open. */
   cancel(flightId: string, leaf: Leaf): void;
-  /** Asks a leaf for its state; nothing where it does not answer. */
+  /** Requests the state of a leaf; undefined if it does not answer or reports no valid state. */
   probe(leaf: Leaf): Promise<LeafSignal | undefined>;
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void;
 }
 
-/** How a leaf client is told apart and bounded. */
+/** Options of {@linkcode leafClient}. */
 export interface LeafClientOptions {
-  /** Incarnation of the pool; makes its call ids its own. */
+  /** Incarnation of the pool, the prefix that makes its call ids unique. */
   readonly incarnation: string;
 }
 
-/** Time past its deadline that a call's connection is kept for the answer, in milliseconds. */
-const OVERDUE_MS = 1_000;
+/** Time after the deadline of a call before its connection is aborted, in milliseconds. */
+const LATE_ANSWER_GRACE_MS = 1_000;
 
-/** Time a leaf has to tell its state, in milliseconds. */
-const PROBE_MS = 800;
+/** Timeout for connecting, probing and cancelling, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 800;
 
-/** Time a connection is kept without use, in milliseconds. */
-const KEEP_ALIVE_MS = 55_000;
+/** Time after which an idle connection is closed, in milliseconds. */
+const KEEP_ALIVE_TIMEOUT_MS = 55_000;
 
-/** Connections beside those for the slots: one to cancel and one to probe. */
-const SPARE_CONNECTIONS = 2;
+/** Connections beyond one per slot: one for cancellations and one for probes. */
+const EXTRA_CONNECTIONS = 2;
 
 /**
- * Makes a client of leafs.
+ * Creates a client for leafs.
  *
- * @param options - Whose calls they are.
+ * @param options - Incarnation of the pool.
  * @returns The client.
  */
 export function leafClient({ incarnation }: LeafClientOptions): LeafClient {
@@ -61,33 +61,33 @@
 
   function poolOf(leaf: Leaf): Pool {
     const key = `${leaf.address}:${leaf.port}`;
-    const known = pools.get(key);
-    if (known !== undefined) {
-      return known;
+    const existing = pools.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const host = leaf.address.includes(":") ? `[${leaf.address}]` : leaf.address;
-    const made = new Pool(`http://${host}:${leaf.port}`, {
-      connections: connectionsOf(leaf),
+    const created = new Pool(`http://${host}:${leaf.port}`, {
+      connections: connectionLimit(leaf),
       pipelining: 1,
-      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       headersTimeout: 0,
       bodyTimeout: 0,
-      connect: { timeout: PROBE_MS },
+      connect: { timeout: REQUEST_TIMEOUT_MS },
     });
-    pools.set(key, made);
-    warmUp(made, leaf);
-    return made;
+    pools.set(key, created);
+    warmUp(created, leaf);
+    return created;
   }
 
   return {
-    dispatch: (dispatch, end) => {
+    dispatch: (dispatch, onEnd) => {
       const pool = poolOf(dispatch.leaf);
       const callId = `${incarnation}.${dispatch.flightId}`;
-      const handler = new CallHandler(end, {
+      const handler = new CallHandler(onEnd, {
         timeoutMs: dispatch.timeoutMs,
-        onLate: () => sendCancel(pool, callId),
+        onDeadline: () => sendCancel(pool, callId),
       });
-      pool.dispatch(requestOf(dispatch, callId), handler);
+      pool.dispatch(toRequestOptions(dispatch, callId), handler);
     },
     cancel: (flightId, leaf) => sendCancel(poolOf(leaf), `${incarnation}.${flightId}`),
     probe: async (leaf) => {
@@ -95,10 +95,10 @@
         const answer = await poolOf(leaf).request({
           method: "GET",
           path: LEAF_PATHS.load,
-          signal: AbortSignal.timeout(PROBE_MS),
+          signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
         });
         const body = (await answer.body.json()) as Readonly<Record<string, unknown>> | null;
-        return readSignal(body?.state);
+        return parseSignal(body?.state);
       } catch {
         return undefined;
       }
@@ -111,16 +111,20 @@
   };
 }
 
-/** Half of the cap at most, so that two owners for a moment stay below it together. */
-function connectionsOf({ slots, maxConnections }: Leaf): number {
-  return Math.max(1, Math.min(slots + SPARE_CONNECTIONS, Math.floor(maxConnections / 2)));
+/** At most half of the cap, as two pools may own a leaf while ownership moves. */
+function connectionLimit({ slots, maxConnections }: Leaf): number {
+  return Math.max(1, Math.min(slots + EXTRA_CONNECTIONS, Math.floor(maxConnections / 2)));
 }
 
-/** Opens a connection for each slot before the first call needs it. */
+/** Opens a connection for each slot ahead of the first call. */
 function warmUp(pool: Pool, { slots }: Leaf): void {
   for (let opened = 0; opened < slots; opened++) {
     pool
-      .request({ method: "GET", path: LEAF_PATHS.load, signal: AbortSignal.timeout(PROBE_MS) })
+      .request({
+        method: "GET",
+        path: LEAF_PATHS.load,
+        signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
+      })
       .then((answer) => answer.body.dump())
       .catch(() => undefined);
   }
@@ -132,13 +136,13 @@
       method: "POST",
       path: LEAF_PATHS.cancel,
       headers: { [LEAF_HEADERS.callId]: callId },
-      signal: AbortSignal.timeout(PROBE_MS),
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
     })
     .then((answer) => answer.body.dump())
     .catch(() => undefined);
 }
 
-function requestOf(dispatch: Dispatch, callId: string): Dispatcher.DispatchOptions {
+function toRequestOptions(dispatch: Dispatch, callId: string): Dispatcher.DispatchOptions {
   return {
     method: "POST",
     path: LEAF_PATHS.query,
@@ -158,36 +162,39 @@
 
 interface CallHandlerOptions {
   readonly timeoutMs: number;
-  /** Called when the deadline has passed without an answer. */
-  readonly onLate: () => void;
+  /** Called if there is no answer by the deadline. */
+  readonly onDeadline: () => void;
 }
 
-/** Follows one call on its connection and tells its end once. */
+/** Handles the response to one call and reports its result once. */
 class CallHandler implements Dispatcher.DispatchHandler {
-  readonly #end: (end: LeafCallEnd) => void;
+  readonly #onEnd: (result: LeafCallResult) => void;
   readonly #chunks: Array<Buffer> = [];
-  readonly #late: NodeJS.Timeout;
-  #overdue: NodeJS.Timeout | undefined;
+  readonly #deadlineTimer: NodeJS.Timeout;
+  #abortTimer: NodeJS.Timeout | undefined;
   #controller: Dispatcher.DispatchController | undefined;
-  #started = false;
-  #ended = false;
+  #hasStarted = false;
+  #hasEnded = false;
   #statusCode = 0;
   #sizeBytes = 0;
   #headers: Readonly<Record<string, string | string[] | undefined>> = {};
 
-  constructor(end: (end: LeafCallEnd) => void, { timeoutMs, onLate }: CallHandlerOptions) {
-    this.#end = end;
-    this.#late = setTimeout(
+  constructor(
+    onEnd: (result: LeafCallResult) => void,
+    { timeoutMs, onDeadline }: CallHandlerOptions,
+  ) {
+    this.#onEnd = onEnd;
+    this.#deadlineTimer = setTimeout(
       () => {
-        onLate();
-        this.#overdue = setTimeout(() => this.#giveUp(), OVERDUE_MS);
+        onDeadline();
+        this.#abortTimer = setTimeout(() => this.#abort(), LATE_ANSWER_GRACE_MS);
       },
       Math.max(1, timeoutMs),
     );
   }
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    this.#started = true;
+    this.#hasStarted = true;
     this.#controller = controller;
   }
 
@@ -203,7 +210,7 @@
   onResponseData(controller: Dispatcher.DispatchController, chunk: Buffer): void {
     this.#sizeBytes += chunk.length;
     if (this.#sizeBytes > MAX_ANSWER_BYTES) {
-      controller.abort(new Error("Cannot take the leaf's answer: too large"));
+      controller.abort(new Error("Leaf answer exceeds the maximum size"));
       return;
     }
     this.#chunks.push(chunk);
@@ -219,22 +226,22 @@
   }
 
   onResponseError(): void {
-    // Before its start no byte of the call has gone out; after it nobody can tell.
-    this.#finish({ kind: "failed", reason: "leaf failed", notSent: !this.#started });
+    // Until the request starts, no byte of it has been sent; after that the leaf may have run it.
+    this.#finish({ kind: "failed", reason: "leaf failed", notSent: !this.#hasStarted });
   }
 
-  #giveUp(): void {
-    this.#controller?.abort(new Error("Cannot wait longer for the leaf's answer"));
+  #abort(): void {
+    this.#controller?.abort(new Error("Leaf did not answer within the deadline and grace period"));
     this.#finish({ kind: "failed", reason: "deadline", notSent: false });
   }
 
   #finish(outcome: LeafOutcome): void {
-    if (this.#ended) {
+    if (this.#hasEnded) {
       return;
     }
-    this.#ended = true;
-    clearTimeout(this.#late);
-    clearTimeout(this.#overdue);
-    this.#end({ outcome, signal: readSignal(this.#headers[LEAF_HEADERS.state]) });
+    this.#hasEnded = true;
+    clearTimeout(this.#deadlineTimer);
+    clearTimeout(this.#abortTimer);
+    this.#onEnd({ outcome, signal: parseSignal(this.#headers[LEAF_HEADERS.state]) });
   }
 }
--- a/backend/leaf_protocol.ts
+++ b/backend/leaf_protocol.ts
@@ -1,10 +1,10 @@
 /**
- * The protocol of leafs: names of headers and paths, and how their answers are read.
+ * HTTP protocol of leafs: headers, paths and parsing of answers.
  *
- * A call is `POST /query` with a JSON body; the answer is a JSON array of rows with the snapshot,
- * the shard and the number of rows in headers. A refusal carries a status and a JSON body that says
- * why; by it the call has not run. `POST /cancel` takes a call back, `GET /load` tells the leaf's
- * state.
+ * A call is `POST /query` with a JSON body. The answer is a JSON array of rows, with the snapshot,
+ * the shard and the number of rows in headers. A refusal has an error status and a JSON body with
+ * the reason, and means that the call was not run. `POST /cancel` cancels a call, and `GET /load`
+ * returns the state of the leaf.
  *
  * @module
  */
@@ -26,10 +26,10 @@
 /** Paths of a leaf. */
 export const LEAF_PATHS = { query: "/query", cancel: "/cancel", load: "/load" } as const;
 
-/** Largest answer taken from a leaf, in bytes. */
+/** Maximum size of an answer, in bytes. */
 export const MAX_ANSWER_BYTES = 8_000_000;
 
-/** A leaf's answer as it came. */
+/** Unparsed answer of a leaf. */
 export interface RawLeafAnswer {
   readonly statusCode: number;
   readonly headers: Readonly<Record<string, string | readonly string[] | undefined>>;
@@ -45,34 +45,37 @@
   cancelled: "caller gone",
 };
 
-/** Status codes of answers that may be refusals before running. */
-const REFUSAL_CODES: ReadonlySet<number> = new Set([409, 429, 499, 503]);
+/** Status codes of answers that may state that the call was not run. */
+const REFUSAL_STATUS_CODES: ReadonlySet<number> = new Set([409, 429, 499, 503]);
 
 /**
- * Reads a leaf's answer.
+ * Parses the answer of a leaf. An answer that violates the protocol counts as a failure of a call
+ * that may have run.
  *
- * @param answer - The answer as it came.
- * @returns What became of the call; whatever does not fit the protocol may have run.
+ * @param answer - The unparsed answer.
+ * @returns The outcome of the call.
  */
 export function readLeafAnswer(answer: RawLeafAnswer): LeafOutcome {
   if (answer.statusCode === 200) {
-    return readRows(answer);
+    return parseRows(answer);
   }
-  const refusal = REFUSAL_CODES.has(answer.statusCode) ? readRefusal(answer.text) : undefined;
+  const refusal = REFUSAL_STATUS_CODES.has(answer.statusCode)
+    ? parseRefusal(answer.text)
+    : undefined;
   return refusal ?? { kind: "failed", reason: "leaf failed", notSent: false };
 }
 
-function readRows({ headers, text }: RawLeafAnswer): LeafOutcome {
+function parseRows({ headers, text }: RawLeafAnswer): LeafOutcome {
   const rowCount = Number(headers[LEAF_HEADERS.rowCount]);
   const snapshot = headers[LEAF_HEADERS.snapshot];
   const shard = headers[LEAF_HEADERS.shard];
-  const named = typeof snapshot === "string" && typeof shard === "string";
-  return named && Number.isInteger(rowCount) && rowCount >= 0
+  const isIdentified = typeof snapshot === "string" && typeof shard === "string";
+  return isIdentified && Number.isInteger(rowCount) && rowCount >= 0
     ? { kind: "answered", snapshot, shard, rowCount, rowsJson: text }
     : { kind: "failed", reason: "malformed answer", notSent: false };
 }
 
-function readRefusal(text: string): LeafOutcome | undefined {
+function parseRefusal(text: string): LeafOutcome | undefined {
   try {
     const body = JSON.parse(text) as Readonly<Record<string, unknown>> | null;
     const reason = REFUSAL_REASONS[String(body?.reason)];
@@ -89,11 +92,11 @@
 const SIGNALS: ReadonlySet<string> = new Set(["ready", "cold", "draining"]);
 
 /**
- * Reads the state that a leaf signals.
+ * Parses the state that a leaf reports.
  *
- * @param value - Value of the header or of the field.
- * @returns The signal, or nothing where it is not one.
+ * @param value - Value of the header or of the JSON field.
+ * @returns The state, or undefined if the value is not a known state.
  */
-export function readSignal(value: unknown): LeafSignal | undefined {
+export function parseSignal(value: unknown): LeafSignal | undefined {
   return typeof value === "string" && SIGNALS.has(value) ? (value as LeafSignal) : undefined;
 }
--- a/backend/mod.ts
+++ b/backend/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to leafs over HTTP.
+ * HTTP client and protocol for calls to leafs.
  *
  * @module
  */
