--- a/daemon/control_shell.ts
+++ b/daemon/control_shell.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the effects of the control slice and serves other daemons' control calls.
+ * Runs the effects of the control slice and serves control calls of other daemons.
  *
  * @module
  */
@@ -22,15 +22,15 @@
 import { PlatformWatch } from "./platform_watch.js";
 import { type TimerKey, Timers } from "./timers.js";
 
-/** What the control shell needs of its daemon. */
+/** Options of {@linkcode controlShell}. */
 export interface ControlShellOptions {
   readonly platform: PlatformPort;
   readonly telemetry: Telemetry;
   readonly send: (event: ControlEvent) => void;
   readonly nowMs: () => number;
-  /** Gives an object by its key, as JSON. */
+  /** Returns a catalog object as JSON, or undefined if the key is unknown. */
   readonly objectJson: (key: string) => string | undefined;
-  /** The daemon's own state for operators. */
+  /** Returns the state of the daemon for operators. */
   readonly report: () => unknown;
   /** Ends the process. */
   readonly stop: () => void;
@@ -38,27 +38,27 @@
 
 type OwnEffect = Exclude<ControlEffect, { readonly kind: "setTimer" }>;
 
-/** The control side of a daemon's shell. */
+/** Control part of a daemon's shell. */
 export interface ControlShell {
   readonly handlers: EffectHandlers<OwnEffect>;
   readonly service: Partial<ServiceImpl<typeof PeerService>>;
-  /** Gives a client of another daemon, kept for the next use. */
+  /** Returns the client for a peer, creating it on first use. */
   client(peer: PeerAddress): PeerClient;
-  /** Messages and bytes of control traffic so far, both ways. */
+  /** Returns the control traffic sent and received since the start of the daemon. */
   traffic(): ControlTraffic;
 }
 
-/** Control traffic of a daemon since its start. */
+/** Control traffic of a daemon since its start, sent and received. */
 export interface ControlTraffic {
   readonly messages: number;
   readonly sizeBytes: number;
 }
 
 /**
- * Makes the control side of a daemon's shell.
+ * Creates the control part of a daemon's shell.
  *
- * @param options - What it needs.
- * @returns Effect handlers and the service for other daemons.
+ * @param options - Ports and callbacks of the daemon.
+ * @returns The effect handlers, and the service for other daemons.
  */
 export function controlShell(options: ControlShellOptions): ControlShell {
   const { send, nowMs, telemetry } = options;
@@ -75,9 +75,9 @@
 
   function client(peer: PeerAddress): PeerClient {
     const key = `${peer.address}:${peer.peerPort}`;
-    const made = clients.get(key) ?? peerClient(peer);
-    clients.set(key, made);
-    return made;
+    const cached = clients.get(key) ?? peerClient(peer);
+    clients.set(key, cached);
+    return cached;
   }
 
   async function runExchange(
@@ -109,7 +109,7 @@
       reply.objectsJson.forEach(count);
       send({ kind: "objectsFetched", nowMs: nowMs(), objects: decodeObjects(reply.objectsJson) });
     } catch {
-      // The next exchange finds the difference again.
+      // The next exchange detects the missing objects again.
     }
   }
 
@@ -153,10 +153,10 @@
 }
 
 /**
- * Makes the timers of a core; each comes back as an event of its own kind.
+ * Creates the timers of a core. An expired timer is sent to the core as an event of the same kind.
  *
- * @param send - Takes the events.
- * @param clock - Reads the daemon's clock.
+ * @param send - Sends an event to the core.
+ * @param clock - Returns the current time, in milliseconds.
  * @returns The timers.
  */
 export function coreTimers<Key extends TimerKey, Event>(
--- a/daemon/core_runner.ts
+++ b/daemon/core_runner.ts
@@ -1,29 +1,29 @@
 /**
- * Runs a core as an xstate actor: events in, effects out, one at a time on one loop.
+ * Runs a core as an xstate actor, which handles one event at a time and runs its effects.
  *
  * @module
  */
 import { type AnyActorLogic, createActor } from "xstate";
 import type { Step } from "../core/mod.js";
 
-/** Handlers of all effects of a core, by kind. */
+/** Effect handlers of a core, by kind of effect. */
 export type EffectHandlers<Effect extends { readonly kind: string }> = {
   readonly [K in Effect["kind"]]: (effect: Extract<Effect, { readonly kind: K }>) => void;
 };
 
 /** A running core. */
 export interface CoreRunner<State, Event> {
-  /** Hands an event to the core; its effects are run before the next event is taken. */
+  /** Sends an event to the core. Its effects are run before the next event is handled. */
   send(event: Event): void;
-  /** State after the last event. */
+  /** Returns the state after the last event. */
   state(): State;
 }
 
 /**
  * Starts a core.
  *
- * @param logic - The core's xstate logic, whose context is the last step.
- * @param handlers - What runs each effect.
+ * @param logic - The xstate logic of the core, whose context is the result of the last step.
+ * @param handlers - Effect handlers.
  * @returns The running core.
  */
 export function runCore<State, Event, Effect extends { readonly kind: string }>(
@@ -31,15 +31,15 @@
   handlers: EffectHandlers<Effect>,
 ): CoreRunner<State, Event> {
   const actor = createActor(logic);
-  const table = handlers as unknown as Readonly<Record<string, (effect: Effect) => void>>;
-  let done: unknown;
+  const handlersByKind = handlers as unknown as Readonly<Record<string, (effect: Effect) => void>>;
+  let lastStep: unknown;
   actor.subscribe((snapshot: { readonly context: Step<State, Effect> }) => {
-    if (snapshot.context === done) {
+    if (snapshot.context === lastStep) {
       return;
     }
-    done = snapshot.context;
+    lastStep = snapshot.context;
     for (const effect of snapshot.context.effects) {
-      table[effect.kind]?.(effect);
+      handlersByKind[effect.kind]?.(effect);
     }
   });
   actor.start();
@@ -50,9 +50,9 @@
 }
 
 /**
- * Reads the daemon's own clock, which never goes back.
+ * Returns the time of the daemon's monotonic clock.
  *
- * @returns Milliseconds since the process started.
+ * @returns Time since the process started, in milliseconds.
  */
 export function nowMs(): number {
   return performance.now();
--- a/daemon/daemon_settings.ts
+++ b/daemon/daemon_settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings that all daemons have.
+ * Settings common to all daemons.
  *
  * @module
  */
@@ -10,28 +10,31 @@
 import type { Member, Role } from "../model/mod.js";
 import type { SettingSpecs, Settings } from "../settings/mod.js";
 
-/** Flags of every daemon. */
+/** Command-line flags common to all daemons. */
 export const DAEMON_SPECS = {
   box: { kind: "text", help: "Name of the box in the platform's box list" },
-  "data-centre": { kind: "text", help: "Name of the data centre the box stands in" },
-  address: { kind: "address", help: "IP address that callers and other daemons reach" },
-  "peer-port": { kind: "port", help: "TCP port for other daemons; 0 for any that is free" },
-  platform: { kind: "url", help: "Where the platform's object API answers" },
+  "data-centre": { kind: "text", help: "Name of the data centre that the box is in" },
+  address: {
+    kind: "address",
+    help: "IP address at which callers and other daemons reach this daemon",
+  },
+  "peer-port": { kind: "port", help: "TCP port for other daemons; 0 for any free port" },
+  platform: { kind: "url", help: "URL of the platform's object API" },
   seeds: {
     kind: "text",
-    help: "Daemons to ask first, as address:port with commas, for a start without the platform",
+    help: "Daemons to contact first, as comma-separated address:port, for a start without the platform",
     fallback: "",
   },
   "advice-keep-ms": {
     kind: "number",
-    help: "Time callers may keep the list of entries, in milliseconds",
+    help: "Time for which callers may cache the list of entries, in milliseconds",
     fallback: "5000",
     min: 0,
     max: 3_600_000,
   },
   "log-level": {
     kind: "choice",
-    help: "Least level of log lines",
+    help: "Minimum level of log lines",
     choices: ["trace", "debug", "info", "warn", "error", "fatal"],
     fallback: "info",
   },
@@ -43,10 +46,10 @@
   "statsd-port": { kind: "port", help: "UDP port of the StatsD server", fallback: "8125" },
 } as const satisfies SettingSpecs;
 
-/** Settings of every daemon as read. */
+/** Parsed settings common to all daemons. */
 export type DaemonSettings = Settings<typeof DAEMON_SPECS>;
 
-/** What a daemon's own member entry needs besides its settings. */
+/** Options of {@linkcode makeSelf}. */
 export interface SelfOptions {
   readonly role: Role;
   readonly peerPort: number;
@@ -54,11 +57,11 @@
 }
 
 /**
- * Makes a daemon's account of itself, with an incarnation never used before.
+ * Creates the member record of this daemon, with a new unique incarnation.
  *
- * @param settings - Its settings.
- * @param options - Its role and the ports it listens on.
- * @returns The member.
+ * @param settings - Settings of the daemon.
+ * @param options - Role of the daemon and the ports it listens on.
+ * @returns The member record.
  */
 export function makeSelf(
   settings: DaemonSettings,
@@ -70,7 +73,7 @@
     incarnation: `${startedAtEpochMs.toString(36)}-${randomBytes(8).toString("hex")}`,
     startedAtEpochMs,
     version: 1,
-    // It is given work once it knows a configuration.
+    // Receives no calls until it has a configuration.
     state: "joining",
     role,
     box: settings.box,
@@ -82,25 +85,25 @@
 }
 
 /**
- * Reads the addresses of the daemons to ask first.
+ * Parses the addresses of the daemons to contact first. Invalid addresses are skipped.
  *
- * @param text - Addresses with ports, with commas between.
- * @returns The addresses; what is not one is passed over.
+ * @param text - Comma-separated addresses with ports.
+ * @returns The addresses.
  */
 export function parseSeeds(text: string): ReadonlyArray<PeerAddress> {
   return text.split(",").flatMap((each) => {
-    const cut = each.lastIndexOf(":");
-    const address = each.slice(0, cut).trim();
-    const peerPort = Number(each.slice(cut + 1));
+    const separator = each.lastIndexOf(":");
+    const address = each.slice(0, separator).trim();
+    const peerPort = Number(each.slice(separator + 1));
     return isIP(address) > 0 && peerPort > 0 ? [{ address, peerPort }] : [];
   });
 }
 
 /**
- * Picks the telemetry settings of a daemon.
+ * Returns the telemetry options of a daemon.
  *
  * @param name - Name of the program.
- * @param settings - Its settings.
+ * @param settings - Settings of the daemon.
  * @returns Options for `startTelemetry`.
  */
 export function telemetryOptions(name: string, settings: DaemonSettings) {
--- a/daemon/mod.ts
+++ b/daemon/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The shell that all daemons share: runs a core's effects and feeds it events.
+ * Shell shared by all daemons: runs the effects of a core and sends it events.
  *
  * @module
  */
--- a/daemon/pending_replies.ts
+++ b/daemon/pending_replies.ts
@@ -1,36 +1,36 @@
 /**
- * Replies that a request from outside waits for while the core decides.
+ * Requests from other processes that wait for a reply of the core.
  *
  * @module
  */
 
-/** Requests that wait, by number. */
+/** Pending requests by id. */
 export class PendingReplies<Reply> {
-  readonly #waiting = new Map<number, (reply: Reply) => void>();
-  #next = 1;
+  readonly #resolvers = new Map<number, (reply: Reply) => void>();
+  #nextId = 1;
 
   /**
-   * Opens a request.
+   * Sends a request to the core. The core must reply to every request.
    *
-   * @param ask - Hands the request to the core under its number.
-   * @returns The reply; the core gives one to every request.
+   * @param send - Sends the request to the core under the given id.
+   * @returns The reply.
    */
-  open(ask: (requestId: number) => void): Promise<Reply> {
-    const requestId = this.#next++;
+  open(send: (requestId: number) => void): Promise<Reply> {
+    const requestId = this.#nextId++;
     return new Promise((resolve) => {
-      this.#waiting.set(requestId, resolve);
-      ask(requestId);
+      this.#resolvers.set(requestId, resolve);
+      send(requestId);
     });
   }
 
   /**
-   * Gives the reply.
+   * Resolves a pending request. An unknown id is ignored.
    *
-   * @param requestId - Number of the request.
+   * @param requestId - Id of the request.
    * @param reply - The reply.
    */
   give(requestId: number, reply: Reply): void {
-    this.#waiting.get(requestId)?.(reply);
-    this.#waiting.delete(requestId);
+    this.#resolvers.get(requestId)?.(reply);
+    this.#resolvers.delete(requestId);
   }
 }
--- a/daemon/platform_watch.ts
+++ b/daemon/platform_watch.ts
@@ -1,5 +1,5 @@
 /**
- * Watches the platform: one waiting call for changes and a look at the box list now and then.
+ * Watches the platform: reads the box list and long-polls for changed objects, in turn.
  *
  * @module
  */
@@ -7,36 +7,36 @@
 import type { BoxList } from "../model/mod.js";
 import type { CatalogChanges, PlatformPort } from "../platform/mod.js";
 
-/** Time a waiting call is held by the platform, in milliseconds. */
-const WATCH_MS = 2_000;
+/** Time for which the platform holds a long poll without changes, in milliseconds. */
+const LONG_POLL_MS = 2_000;
 
-/** Least time between two looks, so that no answer makes the watch spin, in milliseconds. */
-const LOOK_EVERY_MS = 100;
+/** Minimum delay between polls, in milliseconds, so that immediate answers cause no busy loop. */
+const MIN_POLL_INTERVAL_MS = 100;
 
 /**
- * Waits after failures in a row, in milliseconds. A look at a store that is still silent takes 1.5 s more,
- * and changes are to be in force 4 s after they are taken.
+ * Delays after consecutive failures, in milliseconds; the last one repeats. They are short, as
+ * changes must be applied within 4 s.
  */
-const BACKOFF_MS = [200, 500, 1_000] as const;
+const RETRY_DELAYS_MS = [200, 500, 1_000] as const;
 
-/** What the watch needs. */
+/** Options of {@linkcode PlatformWatch}. */
 export interface PlatformWatchOptions {
   readonly send: (event: ControlEvent) => void;
   readonly nowMs: () => number;
 }
 
-/** A watch that can be turned on and off. */
+/** Sends changes of the platform's objects and box list to the core while enabled. */
 export class PlatformWatch {
   readonly #platform: PlatformPort;
   readonly #options: PlatformWatchOptions;
   #enabled = false;
   #running = false;
   #sinceVersion = 0;
-  #isListed = false;
+  #hasListed = false;
 
   /**
    * @param platform - The platform.
-   * @param options - Where its news goes.
+   * @param options - Event sink and clock.
    */
   constructor(platform: PlatformPort, options: PlatformWatchOptions) {
     this.#platform = platform;
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Turns the watch on or off; a call under way is let end.
+   * Enables or disables the watch. A request in progress is not aborted.
    *
    * @param enabled - Whether to watch.
    */
@@ -59,36 +59,37 @@
   async #run(): Promise<void> {
     let failures = 0;
     while (this.#enabled) {
-      const failed = await this.#round();
+      const failed = await this.#poll();
       failures = failed ? failures + 1 : 0;
-      const backoffMs = BACKOFF_MS[Math.min(failures, BACKOFF_MS.length) - 1] ?? LOOK_EVERY_MS;
-      await new Promise((resolve) => setTimeout(resolve, backoffMs).unref());
+      const delayMs =
+        RETRY_DELAYS_MS[Math.min(failures, RETRY_DELAYS_MS.length) - 1] ?? MIN_POLL_INTERVAL_MS;
+      await new Promise((resolve) => setTimeout(resolve, delayMs).unref());
     }
     this.#running = false;
   }
 
-  /** One look at the platform; tells whether it failed. */
-  async #round(): Promise<boolean> {
-    const waitMs = this.#isListed ? WATCH_MS : 0;
+  /** Polls the platform once. Returns whether it failed. */
+  async #poll(): Promise<boolean> {
+    const waitMs = this.#hasListed ? LONG_POLL_MS : 0;
     const boxList = await this.#platform.readBoxList();
     if (boxList.isErr()) {
-      return this.#fail(boxList.error.message);
+      return this.#sendFailure(boxList.error.message);
     }
-    this.#tell({ version: this.#sinceVersion, objects: [] }, boxList.value);
+    this.#sendChanges({ version: this.#sinceVersion, objects: [] }, boxList.value);
     const changes = await this.#platform.listChanges({ sinceVersion: this.#sinceVersion, waitMs });
     if (changes.isErr()) {
-      return this.#fail(changes.error.message);
+      return this.#sendFailure(changes.error.message);
     }
-    this.#isListed = true;
-    this.#tell(changes.value, undefined);
+    this.#hasListed = true;
+    this.#sendChanges(changes.value, undefined);
     return false;
   }
 
-  #tell(changes: CatalogChanges, boxList: BoxList | undefined): void {
-    // A store that was set back counts from a lower version; all is asked for again then.
-    const wasSetBack = changes.version < this.#sinceVersion;
-    this.#sinceVersion = wasSetBack ? 0 : changes.version;
-    this.#isListed = this.#isListed && !wasSetBack;
+  #sendChanges(changes: CatalogChanges, boxList: BoxList | undefined): void {
+    // A store that was reset to an older state has a lower version; list all objects again.
+    const wasReset = changes.version < this.#sinceVersion;
+    this.#sinceVersion = wasReset ? 0 : changes.version;
+    this.#hasListed = this.#hasListed && !wasReset;
     this.#options.send({
       kind: "platformAnswered",
       nowMs: this.#options.nowMs(),
@@ -98,7 +99,7 @@
     });
   }
 
-  #fail(message: string): boolean {
+  #sendFailure(message: string): boolean {
     this.#options.send({ kind: "platformFailed", nowMs: this.#options.nowMs(), message });
     return true;
   }
--- a/daemon/platform_watch_test.ts
+++ b/daemon/platform_watch_test.ts
@@ -3,7 +3,7 @@
 import type { PlatformPort } from "../platform/mod.js";
 import { PlatformWatch } from "./platform_watch.js";
 
-t.test("PlatformWatch does not spin on an empty store that answers at once", async (t) => {
+t.test("PlatformWatch does not busy-loop on an empty store that answers immediately", async (t) => {
   let calls = 0;
   const platform: PlatformPort = {
     listChanges: () => {
--- a/daemon/report_daemon.ts
+++ b/daemon/report_daemon.ts
@@ -1,5 +1,5 @@
 /**
- * A daemon's own state for operators.
+ * Report of a daemon's state for operators.
  *
  * @module
  */
@@ -10,17 +10,17 @@
 import type { ControlShell, ControlTraffic } from "./control_shell.js";
 import { nowMs } from "./core_runner.js";
 
-/** What each daemon reports. */
+/** State of a daemon as reported to operators. */
 export interface DaemonReport {
   readonly member: Member;
   readonly phase: LifecyclePhase;
   readonly watching: boolean;
   readonly isolated: boolean;
-  /** Milliseconds since the configuration was known to be the platform's. */
+  /** Time since the configuration was last confirmed to match the platform, in milliseconds. */
   readonly confirmedAgoMs: number;
-  /** Revision in force by object key. */
+  /** Applied revisions by object key. */
   readonly revisions: Readonly<Record<string, number>>;
-  /** Other daemons as this one knows them. */
+  /** States of other daemons as seen by this one. */
   readonly members: ReadonlyArray<{ readonly memberId: string; readonly state: Member["state"] }>;
   readonly process: {
     readonly cpuMicros: number;
@@ -31,22 +31,22 @@
   readonly counts: Readonly<Record<string, number>>;
 }
 
-/** Parts of the shell that a report reads. */
-export interface ReportOptions {
+/** Parts of the shell that {@linkcode reportDaemon} reads. */
+export interface ReportSources {
   readonly telemetry: Telemetry;
   readonly control: ControlShell;
 }
 
 /**
- * Reports a daemon.
+ * Builds the report of a daemon.
  *
- * @param state - Its control state.
- * @param options - Parts of the shell.
+ * @param state - Control state of the daemon.
+ * @param sources - Telemetry and control part of the shell.
  * @returns The report.
  */
 export function reportDaemon(
   state: ControlState,
-  { telemetry, control }: ReportOptions,
+  { telemetry, control }: ReportSources,
 ): DaemonReport {
   const cpu = process.cpuUsage();
   return {
--- a/daemon/timers.ts
+++ b/daemon/timers.ts
@@ -1,66 +1,66 @@
 /**
- * Timers of a core, each under the key that its event comes back with.
+ * Timers of a core, identified by key.
  *
  * @module
  */
 
-/** A timer's key. */
+/** Key of a timer. */
 export interface TimerKey {
   readonly kind: string;
   readonly id?: string;
 }
 
-/** Timers that are set. */
+/** Set of pending timers. */
 export class Timers<Key extends TimerKey> {
-  readonly #set = new Map<string, NodeJS.Timeout>();
-  readonly #fire: (timer: Key) => void;
+  readonly #handles = new Map<string, NodeJS.Timeout>();
+  readonly #onExpire: (timer: Key) => void;
 
   /**
-   * @param fire - Called with the key of each timer that goes off.
+   * @param onExpire - Called with the key of each timer that expires.
    */
-  constructor(fire: (timer: Key) => void) {
-    this.#fire = fire;
+  constructor(onExpire: (timer: Key) => void) {
+    this.#onExpire = onExpire;
   }
 
   /**
-   * Sets a timer, in place of one with the same key.
+   * Sets a timer and replaces a pending one with the same key.
    *
-   * @param timer - Its key.
-   * @param delayMs - Time until it goes off.
+   * @param timer - Key of the timer.
+   * @param delayMs - Delay, in milliseconds.
    */
   set(timer: Key, delayMs: number): void {
-    const name = nameOf(timer);
-    clearTimeout(this.#set.get(name));
+    const name = toMapKey(timer);
+    clearTimeout(this.#handles.get(name));
     const handle = setTimeout(
       () => {
-        this.#set.delete(name);
-        this.#fire(timer);
+        this.#handles.delete(name);
+        this.#onExpire(timer);
       },
       Math.max(0, delayMs),
     );
-    this.#set.set(name, handle);
+    this.#handles.set(name, handle);
   }
 
   /**
-   * Takes a timer back; one that is not set is no matter.
+   * Cancels a timer. Does nothing if it is not pending.
    *
-   * @param timer - Its key.
+   * @param timer - Key of the timer.
    */
   clear(timer: Key): void {
-    const name = nameOf(timer);
-    clearTimeout(this.#set.get(name));
-    this.#set.delete(name);
+    const name = toMapKey(timer);
+    clearTimeout(this.#handles.get(name));
+    this.#handles.delete(name);
   }
 
-  /** Takes all timers back. */
+  /** Cancels all timers. */
   clearAll(): void {
-    for (const handle of this.#set.values()) {
+    for (const handle of this.#handles.values()) {
       clearTimeout(handle);
     }
-    this.#set.clear();
+    this.#handles.clear();
   }
 }
 
-function nameOf({ kind, id = "" }: TimerKey): string {
+function toMapKey({ kind, id = "" }: TimerKey): string {
   return `${kind} ${id}`;
 }
