--- a/peer/_codec.ts
+++ b/peer/_codec.ts
@@ -1,5 +1,5 @@
 /**
- * Turns the model's types into messages and back; what does not fit is passed over.
+ * Conversion between types of the model and Protobuf messages.
  *
  * @module
  */
@@ -29,11 +29,17 @@
   ResultBatchSchema,
 } from "./gen/rackvale/peer/v1/peer_pb.js";
 
-const STATES: ReadonlySet<string> = new Set(["joining", "alive", "suspect", "leaving", "dead"]);
-const ROLES: ReadonlySet<string> = new Set(["entry", "pool"]);
+const MEMBER_STATES: ReadonlySet<string> = new Set([
+  "joining",
+  "alive",
+  "suspect",
+  "leaving",
+  "dead",
+]);
+const MEMBER_ROLES: ReadonlySet<string> = new Set(["entry", "pool"]);
 
 /**
- * Writes an exchange as a message.
+ * Encodes an exchange.
  *
  * @param exchange - The exchange.
  * @returns The message.
@@ -50,10 +56,10 @@
 }
 
 /**
- * Reads an exchange from a message.
+ * Decodes an exchange. Invalid members are skipped.
  *
  * @param message - The message.
- * @returns The exchange, or nothing where the sender does not say who it is.
+ * @returns The exchange, or undefined if the member record of the sender is missing or invalid.
  */
 export function decodeExchange(message: ExchangeMessage): Exchange | undefined {
   const self = message.self === undefined ? undefined : decodeMember(message.self);
@@ -76,8 +82,8 @@
 
 function decodeMember(message: MemberMessage): Member | undefined {
   const { memberId, incarnation, state, role, peerPort, callerPort } = message;
-  const named = memberId !== "" && incarnation !== "" && message.address !== "";
-  if (!named || !STATES.has(state) || !ROLES.has(role) || peerPort > 65_535) {
+  const isIdentified = memberId !== "" && incarnation !== "" && message.address !== "";
+  if (!isIdentified || !MEMBER_STATES.has(state) || !MEMBER_ROLES.has(role) || peerPort > 65_535) {
     return undefined;
   }
   return {
@@ -96,9 +102,9 @@
 }
 
 /**
- * Reads catalog objects; one that does not fit the model is passed over.
+ * Decodes catalog objects. Objects that are not valid JSON or do not match the schema are skipped.
  *
- * @param objectsJson - Objects as JSON.
+ * @param objectsJson - The objects as JSON.
  * @returns The objects.
  */
 export function decodeObjects(objectsJson: ReadonlyArray<string>): ReadonlyArray<CatalogObject> {
@@ -112,11 +118,11 @@
 }
 
 /**
- * Writes calls as a message.
+ * Encodes a batch of calls and cancellations.
  *
- * @param entryId - Entry they come from.
+ * @param entryId - Id of the sending entry.
  * @param calls - The calls.
- * @param cancelledCallIds - Earlier calls that are taken back.
+ * @param cancellations - Ids of earlier calls to cancel.
  * @returns The message.
  */
 export function encodeCalls(
@@ -132,7 +138,7 @@
 }
 
 /**
- * Reads a call from its message.
+ * Decodes a call.
  *
  * @param message - The message.
  * @returns The call.
@@ -156,10 +162,10 @@
 }
 
 /**
- * Writes results and reports as a message.
+ * Encodes a batch of results and leaf reports.
  *
- * @param results - What became of calls.
- * @param reports - How leafs are.
+ * @param results - Results of calls.
+ * @param reports - Reports of leafs.
  * @returns The message.
  */
 export function encodeResults(
@@ -190,7 +196,7 @@
 };
 
 /**
- * Reads a result; a kind not known counts as failed, since it cannot be told what ran.
+ * Decodes a result. An unknown kind is decoded as failed, since the call may have run.
  *
  * @param message - The message.
  * @returns The result.
@@ -202,7 +208,7 @@
 }
 
 /**
- * Reads a leaf's report.
+ * Decodes the report of a leaf.
  *
  * @param message - The message.
  * @returns The report.
--- a/peer/mod.ts
+++ b/peer/mod.ts
@@ -1,5 +1,5 @@
 /**
- * How daemons talk to one another, over connect streams and calls.
+ * Communication between daemons over Connect calls and streams.
  *
  * @module
  */
--- a/peer/peer_client.ts
+++ b/peer/peer_client.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to other daemons.
+ * Client for calls to other daemons.
  *
  * @module
  */
@@ -9,36 +9,36 @@
 import type { PeerAddress } from "../control/mod.js";
 import { PeerService } from "./gen/rackvale/peer/v1/peer_pb.js";
 
-/** Time another daemon has for an answer, in milliseconds. */
+/** Timeout for the answer of another daemon, in milliseconds. */
 export const PEER_ANSWER_MS = 1_000;
 
-/** Time without use after which a connection is closed, in milliseconds. */
-const IDLE_MS = 30_000;
+/** Time after which an idle connection is closed, in milliseconds. */
+const IDLE_TIMEOUT_MS = 30_000;
 
-/** Time between two pings on a connection in use, in milliseconds. */
-const PING_EVERY_MS = 1_000;
+/** Interval of pings on a connection in use, in milliseconds. */
+const PING_INTERVAL_MS = 1_000;
 
-/** Time without a byte from the other daemon, pings unanswered, after which a connection counts as cut, in milliseconds. */
-const SILENT_MS = 3_000;
+/** Time without received data, despite pings, after which a connection is closed, in milliseconds. */
+const UNRESPONSIVE_TIMEOUT_MS = 3_000;
 
 /**
- * Time that the library waits for the answer to a ping, in milliseconds. Longer than any connection
- * lives: when it runs out, the library ends the session with an error that nothing listens to any
- * more, which ends the process. `closeWhenSilent` sees to it before.
+ * Ping timeout of the library, in milliseconds. It is too long to ever expire: on expiry, the library
+ * destroys the session with an error that has no listener, which would end the process.
+ * `closeWhenUnresponsive` closes the connection instead.
  */
-const LIBRARY_PING_ANSWER_MS = 86_400_000;
+const LIBRARY_PING_TIMEOUT_MS = 86_400_000;
 
-/** A client of one daemon. */
+/** A client for one daemon. */
 export interface PeerClient {
   readonly rpc: Client<typeof PeerService>;
-  /** Ends the connection. */
+  /** Closes the connection. */
   close(): void;
 }
 
 /**
- * Makes a client of a daemon; it connects when it is first used.
+ * Creates a client for a daemon. It connects on first use.
  *
- * @param peer - Where the daemon is reached.
+ * @param peer - Address of the daemon.
  * @returns The client.
  */
 export function peerClient({ address, peerPort }: PeerAddress): PeerClient {
@@ -47,14 +47,14 @@
   const sessionManager = new Http2SessionManager(
     baseUrl,
     {
-      idleConnectionTimeoutMs: IDLE_MS,
-      pingIntervalMs: PING_EVERY_MS,
-      pingTimeoutMs: LIBRARY_PING_ANSWER_MS,
+      idleConnectionTimeoutMs: IDLE_TIMEOUT_MS,
+      pingIntervalMs: PING_INTERVAL_MS,
+      pingTimeoutMs: LIBRARY_PING_TIMEOUT_MS,
     },
-    // Small messages must not wait for those before them to be acknowledged.
+    // noDelay: a small message must not wait until earlier ones are acknowledged.
     {
       createConnection: () => {
-        return closeWhenSilent(connect({ host: address, port: peerPort, noDelay: true }));
+        return closeWhenUnresponsive(connect({ host: address, port: peerPort, noDelay: true }));
       },
     },
   );
@@ -62,27 +62,28 @@
     baseUrl,
     httpVersion: "2",
     sessionManager,
-    // Within a data centre compressing costs more than the bytes it saves.
+    // Compression costs more than it saves within a data centre.
     acceptCompression: [],
   });
   return { rpc: createClient(PeerService, transport), close: () => sessionManager.abort() };
 }
 
-/** Closes a connection on which bytes go out, pings at least, and none come in. */
-function closeWhenSilent(socket: Socket): Socket {
-  let read = 0;
-  let writtenThen = 0;
-  let silentMs = 0;
+/** Closes a connection that sends data, such as pings, but receives none. */
+function closeWhenUnresponsive(socket: Socket): Socket {
+  let lastBytesRead = 0;
+  let lastBytesWritten = 0;
+  let unresponsiveMs = 0;
   const timer = setInterval(() => {
-    const hears = socket.bytesRead > read;
-    const asks = socket.bytesWritten > writtenThen;
-    silentMs = hears || (silentMs === 0 && !asks) ? 0 : silentMs + PING_EVERY_MS;
-    read = socket.bytesRead;
-    writtenThen = socket.bytesWritten;
-    if (silentMs >= SILENT_MS) {
+    const hasReceived = socket.bytesRead > lastBytesRead;
+    const hasSent = socket.bytesWritten > lastBytesWritten;
+    unresponsiveMs =
+      hasReceived || (unresponsiveMs === 0 && !hasSent) ? 0 : unresponsiveMs + PING_INTERVAL_MS;
+    lastBytesRead = socket.bytesRead;
+    lastBytesWritten = socket.bytesWritten;
+    if (unresponsiveMs >= UNRESPONSIVE_TIMEOUT_MS) {
       socket.destroy();
     }
-  }, PING_EVERY_MS);
+  }, PING_INTERVAL_MS);
   timer.unref();
   socket.once("close", () => clearInterval(timer));
   return socket;
--- a/peer/peer_server.ts
+++ b/peer/peer_server.ts
@@ -1,5 +1,5 @@
 /**
- * The server side of what daemons say to one another.
+ * Server for calls from other daemons.
  *
  * @module
  */
@@ -8,33 +8,33 @@
 import { connectNodeAdapter } from "@connectrpc/connect-node";
 import { PeerService } from "./gen/rackvale/peer/v1/peer_pb.js";
 
-/** Largest message taken from another daemon, in bytes. */
+/** Maximum size of a message from another daemon, in bytes. */
 const MAX_MESSAGE_BYTES = 16_000_000;
 
 /** A listening peer server. */
 export interface PeerServer {
   readonly port: number;
-  /** Ends all sessions and stops listening. */
+  /** Closes all sessions and stops listening. */
   close(): void;
 }
 
-/** Where a server listens. */
-export interface ListenOptions {
+/** Address that a server listens on. */
+export interface ListenAddress {
   readonly address: string;
-  /** TCP port; 0 for any that is free. */
+  /** TCP port; 0 for any free port. */
   readonly port: number;
 }
 
 /**
- * Serves other daemons.
+ * Starts a server for calls from other daemons.
  *
- * @param service - What is answered; methods left out answer that they are not there.
- * @param options - Where to listen.
- * @returns The server, once it listens.
+ * @param service - The implemented methods; calls to other methods fail as unimplemented.
+ * @param address - Address to listen on.
+ * @returns The server, once it is listening.
  */
 export async function listenForPeers(
   service: Partial<ServiceImpl<typeof PeerService>>,
-  { address, port }: ListenOptions,
+  { address, port }: ListenAddress,
 ): Promise<PeerServer> {
   const handler = connectNodeAdapter({
     acceptCompression: [],
@@ -62,7 +62,7 @@
   };
 }
 
-function listen(server: Http2Server, { address, port }: ListenOptions): Promise<void> {
+function listen(server: Http2Server, { address, port }: ListenAddress): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
     server.listen(port, address, () => resolve());
--- a/peer/push_queue.ts
+++ b/peer/push_queue.ts
@@ -1,31 +1,31 @@
 /**
- * A queue that is filled from the loop and read as an async iterable.
+ * Queue with a synchronous writer and an asynchronous reader.
  *
  * @module
  */
 
-/** Items pushed on one side come out on the other in the same order. */
+/** Queue that yields pushed items in order, as an async iterable for one reader. */
 export class PushQueue<T> implements AsyncIterable<T> {
   #items: Array<T> = [];
-  #wake: (() => void) | undefined;
-  #ended = false;
+  #notify: (() => void) | undefined;
+  #hasEnded = false;
 
   /**
-   * Adds an item; after `end` it is dropped.
+   * Adds an item. Items pushed after {@linkcode end} are dropped.
    *
    * @param item - The item.
    */
   push(item: T): void {
-    if (!this.#ended) {
+    if (!this.#hasEnded) {
       this.#items.push(item);
-      this.#wake?.();
+      this.#notify?.();
     }
   }
 
-  /** Ends the iteration once all items are read. */
+  /** Ends the iteration after the remaining items. */
   end(): void {
-    this.#ended = true;
-    this.#wake?.();
+    this.#hasEnded = true;
+    this.#notify?.();
   }
 
   async *[Symbol.asyncIterator](): AsyncGenerator<T> {
@@ -36,13 +36,13 @@
       if (this.#items.length > 0) {
         continue;
       }
-      if (this.#ended) {
+      if (this.#hasEnded) {
         return;
       }
       await new Promise<void>((resolve) => {
-        this.#wake = resolve;
+        this.#notify = resolve;
       });
-      this.#wake = undefined;
+      this.#notify = undefined;
     }
   }
 }
