--- a/pool/leaf_condition.ts
+++ b/pool/leaf_condition.ts
@@ -22,9 +22,10 @@
 /** Minimum service time recorded for a call, in milliseconds. */
 const MIN_SERVICE_TIME_MS = 0.1;
 
-/** Maximum weight of one sample in the mean service time, as a multiple of that mean. */
+/** Multiple of the mean service time to which a sample is clamped. */
 const OUTLIER_FACTOR = 4;
 
+/** Time for which a condition ignores a ready signal, in milliseconds. */
 const HOLD_MS: Readonly<Record<LeafCondition, number>> = {
   ready: 0,
   cold: 0,
@@ -33,8 +34,8 @@
 };
 
 /**
- * Applies the state that a leaf signals. A ready signal is ignored while the current condition is
- * held.
+ * Applies the state that a leaf signals. A ready signal is ignored during the hold time of the
+ * current condition.
  *
  * @param state - State of the leaf.
  * @param signal - The signal.
@@ -42,15 +43,15 @@
  * @returns The new state of the leaf.
  */
 export function applySignal(state: LeafState, signal: LeafSignal, nowMs: number): LeafState {
-  if (signal === "ready" && nowMs < state.conditionHeldUntilMs) {
+  if (signal === "ready" && nowMs < state.ignoreReadyUntilMs) {
     return state;
   }
   return setCondition(state, signal, nowMs);
 }
 
 /**
- * Records a failed call or probe. After `DOWN_AFTER_FAILURES` consecutive failures the
- * leaf is down, unless it is draining.
+ * Records a failed call or probe. After `DOWN_AFTER_FAILURES` consecutive failures the leaf is down,
+ * unless it is draining.
  *
  * @param state - State of the leaf.
  * @param nowMs - Current time, in milliseconds.
@@ -78,7 +79,7 @@
   return {
     ...state,
     condition,
-    conditionHeldUntilMs: nowMs + HOLD_MS[condition],
+    ignoreReadyUntilMs: nowMs + HOLD_MS[condition],
     warmSlots: isRecovering ? 1 : state.warmSlots,
     failures: isRecovering ? 0 : state.failures,
   };
--- a/pool/pool_core_test.ts
+++ b/pool/pool_core_test.ts
@@ -16,9 +16,9 @@
   }
 
   send(event: PoolEvent): ReadonlyArray<PoolEffect> {
-    const made = stepPool(this.state, event);
-    this.state = made.state;
-    return made.effects;
+    const result = stepPool(this.state, event);
+    this.state = result.state;
+    return result.effects;
   }
 
   call(callId: string, change: Partial<LeafCall> = {}): ReadonlyArray<PoolEffect> {
@@ -51,7 +51,7 @@
     return this.send({ kind: "callsArrived", nowMs, entryId: "e", calls: [], cancelledCallIds });
   }
 
-  end(flightId: string, outcome: LeafOutcome): ReadonlyArray<PoolEffect> {
+  finish(flightId: string, outcome: LeafOutcome): ReadonlyArray<PoolEffect> {
     const { nowMs } = this;
     return this.send({ kind: "leafAnswered", nowMs, flightId, outcome, signal: undefined });
   }
@@ -73,55 +73,45 @@
   return effects.flatMap((effect) => (effect.kind === "reply" ? effect.results : []));
 }
 
-t.test(
-  "the pool respects the slots of a leaf and dispatches the most urgent call next",
-  async (t) => {
-    const pool = new PoolHarness();
-    const first = dispatches(pool.call("a"));
-    t.equal(first.length + dispatches(pool.call("b")).length, 2);
-    t.equal(dispatches(pool.call("late", { priorityRank: 3 })).length, 0);
-    t.equal(dispatches(pool.call("soon", { priorityRank: 0 })).length, 0);
-    pool.nowMs += 5;
-    const next = dispatches(pool.end(first[0]?.flightId ?? "", ROWS));
-    t.equal(next[0]?.bodyJson, "soon");
-  },
-);
+t.test("the pool respects a leaf's slots and dispatches the most urgent call next", async (t) => {
+  const pool = new PoolHarness();
+  const first = dispatches(pool.call("a"));
+  t.equal(first.length + dispatches(pool.call("b")).length, 2);
+  t.equal(dispatches(pool.call("late", { priorityRank: 3 })).length, 0);
+  t.equal(dispatches(pool.call("soon", { priorityRank: 0 })).length, 0);
+  pool.nowMs += 5;
+  const next = dispatches(pool.finish(first[0]?.flightId ?? "", ROWS));
+  t.equal(next[0]?.bodyJson, "soon");
+});
 
 t.test("the pool sends identical calls with the same rights once", async (t) => {
   const pool = new PoolHarness();
   const [flight] = dispatches(pool.call("a", { bodyJson: "same" }));
   t.equal(dispatches(pool.call("b", { bodyJson: "same" })).length, 0);
   t.equal(dispatches(pool.call("c", { bodyJson: "same", rights: "other" })).length, 1);
-  const callIds = results(pool.end(flight?.flightId ?? "", ROWS)).map((result) => result.callId);
+  const callIds = results(pool.finish(flight?.flightId ?? "", ROWS)).map((result) => result.callId);
   t.same(callIds, ["a", "b"]);
 });
 
 t.test("the pool never shares a call that is not repeatable", async (t) => {
   const pool = new PoolHarness();
-  const once = { bodyJson: "same", repeatable: false };
-  t.equal(dispatches(pool.call("a", once)).length + dispatches(pool.call("b", once)).length, 2);
+  const change = { bodyJson: "same", repeatable: false };
+  t.equal(dispatches(pool.call("a", change)).length + dispatches(pool.call("b", change)).length, 2);
 });
 
-t.test(
-  "the pool refuses queued calls without running them when their leaf starts draining",
-  async (t) => {
-    const pool = new PoolHarness();
-    for (const callId of ["a", "b", "c"]) {
-      pool.call(callId);
-    }
-    const leafKey = "wide leaf-0";
-    const { nowMs } = pool;
-    const effects = pool.send({ kind: "leafProbed", nowMs, leafKey, signal: "draining" });
-    t.match(results(effects), [{ kind: "refused", callId: "c", reason: "leaving" }]);
-    t.match(results(pool.call("d")), [{ kind: "refused", reason: "leaving" }]);
-    pool.send({ kind: "leafProbed", nowMs: nowMs + 1_000, leafKey, signal: "ready" });
-    t.match(
-      results(pool.call("e")),
-      [{ kind: "refused" }],
-      "a ready signal does not end draining early",
-    );
-  },
-);
+t.test("the pool refuses queued calls when their leaf starts draining", async (t) => {
+  const pool = new PoolHarness();
+  for (const callId of ["a", "b", "c"]) {
+    pool.call(callId);
+  }
+  const leafKey = "wide leaf-0";
+  const { nowMs } = pool;
+  const effects = pool.send({ kind: "leafProbed", nowMs, leafKey, signal: "draining" });
+  t.match(results(effects), [{ kind: "refused", callId: "c", reason: "leaving" }]);
+  t.match(results(pool.call("d")), [{ kind: "refused", reason: "leaving" }]);
+  pool.send({ kind: "leafProbed", nowMs: nowMs + 1_000, leafKey, signal: "ready" });
+  t.match(results(pool.call("e")), [{ kind: "refused" }], "draining does not end early");
+});
 
 t.test("the pool sends no calls to a leaf on a leaving box", async (t) => {
   const pool = new PoolHarness();
@@ -140,21 +130,18 @@
   t.match(results(pool.call("a")), [{ kind: "refused", reason: "leaving" }]);
 });
 
-t.test(
-  "the pool immediately refuses a call that would miss its deadline in the queue",
-  async (t) => {
-    const pool = new PoolHarness();
-    const [flight] = dispatches(pool.call("a"));
-    pool.nowMs += 100;
-    pool.end(flight?.flightId ?? "", ROWS);
-    pool.call("b");
-    pool.call("c");
-    pool.call("d");
-    t.match(results(pool.call("e", { remainingMs: 120 })), [
-      { kind: "refused", reason: "overloaded" },
-    ]);
-  },
-);
+t.test("the pool immediately refuses a call that would miss its deadline", async (t) => {
+  const pool = new PoolHarness();
+  const [flight] = dispatches(pool.call("a"));
+  pool.nowMs += 100;
+  pool.finish(flight?.flightId ?? "", ROWS);
+  pool.call("b");
+  pool.call("c");
+  pool.call("d");
+  t.match(results(pool.call("e", { remainingMs: 120 })), [
+    { kind: "refused", reason: "overloaded" },
+  ]);
+});
 
 t.test("the pool keeps the slot of a cancelled call until the leaf answers", async (t) => {
   const pool = new PoolHarness();
@@ -163,20 +150,17 @@
   t.match(effects, [{ kind: "cancelDispatch", flightId: flight?.flightId }, {}]);
   t.equal(pool.state.leafs.get("wide leaf-0")?.inFlight, 1);
   const outcome = { kind: "failed", reason: "leaf failed", notSent: false } as const;
-  t.same(results(pool.end(flight?.flightId ?? "", outcome)), []);
+  t.same(results(pool.finish(flight?.flightId ?? "", outcome)), []);
   t.equal(pool.state.leafs.get("wide leaf-0")?.inFlight, 0);
 });
 
-t.test(
-  "the pool starts a recovered leaf with one slot and adds one with each answer",
-  async (t) => {
-    const pool = new PoolHarness();
-    const leafKey = "wide leaf-0";
-    pool.send({ kind: "leafProbed", nowMs: pool.nowMs, leafKey, signal: "cold" });
-    pool.send({ kind: "leafProbed", nowMs: pool.nowMs + 10, leafKey, signal: "ready" });
-    const [flight] = dispatches(pool.call("a"));
-    t.equal(dispatches(pool.call("b")).length, 0);
-    t.equal(dispatches(pool.end(flight?.flightId ?? "", ROWS)).length, 1);
-    t.equal(dispatches(pool.call("c")).length, 1);
-  },
-);
+t.test("the pool starts a recovered leaf with one slot and adds one per answer", async (t) => {
+  const pool = new PoolHarness();
+  const leafKey = "wide leaf-0";
+  pool.send({ kind: "leafProbed", nowMs: pool.nowMs, leafKey, signal: "cold" });
+  pool.send({ kind: "leafProbed", nowMs: pool.nowMs + 10, leafKey, signal: "ready" });
+  const [flight] = dispatches(pool.call("a"));
+  t.equal(dispatches(pool.call("b")).length, 0);
+  t.equal(dispatches(pool.finish(flight?.flightId ?? "", ROWS)).length, 1);
+  t.equal(dispatches(pool.call("c")).length, 1);
+});
--- a/pool/pool_state.ts
+++ b/pool/pool_state.ts
@@ -41,7 +41,7 @@
   readonly leaf: Leaf;
   readonly condition: LeafCondition;
   /** Time before which a ready signal is ignored, in milliseconds. */
-  readonly conditionHeldUntilMs: number;
+  readonly ignoreReadyUntilMs: number;
   readonly inFlight: number;
   /** Ids of the flights that wait for a slot, next one first. */
   readonly queue: ReadonlyArray<string>;
@@ -96,7 +96,7 @@
     leafKey,
     leaf,
     condition: "ready",
-    conditionHeldUntilMs: 0,
+    ignoreReadyUntilMs: 0,
     inFlight: 0,
     queue: [],
     serviceTimeMs: 0,
