--- a/entry/_check_value.ts
+++ b/entry/_check_value.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of what operators submit.
+ * Validation of the objects that operators submit.
  *
  * @module
  */
@@ -15,19 +15,19 @@
 import { compilePolicies } from "../policy/mod.js";
 import { type HttpFault, httpFault } from "./http_io.js";
 
-/** What an operator wants an object to hold. */
+/** Name and content of an object that an operator submits. */
 export interface NamedValue {
   readonly name: string;
   readonly data: unknown;
 }
 
 /**
- * Checks what an object is to hold, before anything is submitted.
+ * Validates an object's content before it is submitted.
  *
- * @param state - What the entry knows, as shard maps name leafs of a service.
+ * @param state - Control state, which lists the leafs that a shard map may name.
  * @param kind - Kind of the object.
- * @param value - Its name and content.
- * @returns The content, or the first fault with its field.
+ * @param value - Name and content of the object.
+ * @returns The parsed content, or the first fault with its field.
  */
 export function checkValue(
   state: ControlState,
--- a/entry/_core_harness.ts
+++ b/entry/_core_harness.ts
@@ -1,5 +1,5 @@
 /**
- * Drives the entry's core by hand in tests: one service, one pool, no shell.
+ * Test harness for the entry's core: one service and one pool, without a shell.
  *
  * @module
  */
@@ -17,14 +17,14 @@
 import type { CallResult, EntryEffect, EntryEvent, LeafCall } from "./entry_messages.js";
 import { type EntryState, newEntryState } from "./entry_state.js";
 
-/** An event without its moment. */
+/** An event without its timestamp. */
 export type EventWithoutTime = EntryEvent extends infer E
   ? E extends EntryEvent
     ? Omit<E, "nowMs">
     : never
   : never;
 
-/** What the harness sets up. */
+/** Service, shard map and box list that the harness sets up. */
 export interface HarnessOptions {
   readonly config: ServiceConfig;
   readonly shardMap: ShardMap;
@@ -32,10 +32,10 @@
 }
 
 /**
- * Makes a member for tests.
+ * Creates a member for tests.
  *
- * @param memberId - Its name, as box and role.
- * @param change - What differs from a member that is alive.
+ * @param memberId - Member ID, in the form `box/role`.
+ * @param change - Fields that differ from the default, an alive member.
  * @returns The member.
  */
 export function testMember(memberId: string, change: Partial<Member> = {}): Member {
@@ -57,11 +57,11 @@
 }
 
 /**
- * Makes a catalog object for tests.
+ * Creates a catalog object for tests.
  *
- * @param kind - Its kind.
- * @param name - Its name.
- * @param value - Its value; the revision is 1.
+ * @param kind - Kind of the object.
+ * @param name - Name of the object.
+ * @param value - Value of the object; its revision is 1.
  * @returns The object.
  */
 export function testObject(
@@ -72,7 +72,7 @@
   return { kind, name, revision: 1, deleted: false, history: [], value };
 }
 
-/** An entry's core with a pool that is open, ready for queries. */
+/** An entry's core with one open pool, ready for queries. */
 export class CoreHarness {
   state: EntryState;
   nowMs = 1_000;
@@ -108,44 +108,49 @@
   }
 
   /**
-   * Hands an event to the core at the present moment.
+   * Sends an event to the core at the harness's current time.
    *
    * @param event - The event.
-   * @returns The effects it had.
+   * @returns Effects of the event.
    */
   send(event: EventWithoutTime): ReadonlyArray<EntryEffect> {
-    const made = stepEntry(this.state, { ...event, nowMs: this.nowMs } as EntryEvent);
-    this.state = made.state;
-    this.effects.push(...made.effects);
-    return made.effects;
+    const result = stepEntry(this.state, { ...event, nowMs: this.nowMs } as EntryEvent);
+    this.state = result.state;
+    this.effects.push(...result.effects);
+    return result.effects;
   }
 
   /**
    * Sends a query.
    *
-   * @param queryId - Its id.
-   * @param fields - What differs from a plain query of the service.
-   * @returns The calls it led to.
+   * @param queryId - ID of the query.
+   * @param fields - Fields that differ from the default query.
+   * @returns Calls sent to leafs.
    */
-  ask(queryId: string, fields: Partial<QueryRequest>): ReadonlyArray<LeafCall> {
-    const plain = { service: "wide", caller: "caller", deadlineMs: 500, body: { mark: queryId } };
-    const request = parseQueryRequest({ ...plain, ...fields })._unsafeUnwrap();
+  query(queryId: string, fields: Partial<QueryRequest>): ReadonlyArray<LeafCall> {
+    const defaults = {
+      service: "wide",
+      caller: "caller",
+      deadlineMs: 500,
+      body: { mark: queryId },
+    };
+    const request = parseQueryRequest({ ...defaults, ...fields })._unsafeUnwrap();
     return callsIn(this.send({ kind: "queryArrived", queryId, request, forwarded: false }));
   }
 
   /**
-   * Gives a call's result.
+   * Delivers the result of a call.
    *
    * @param result - The result.
-   * @returns Calls it led to.
+   * @returns Calls sent to leafs in response.
    */
-  give(result: CallResult): ReadonlyArray<LeafCall> {
+  deliver(result: CallResult): ReadonlyArray<LeafCall> {
     const poolId = "box-2/pool";
     return callsIn(this.send({ kind: "resultsArrived", poolId, results: [result], reports: [] }));
   }
 
   /**
-   * Finds the answers given to a query so far.
+   * Returns the answers to a query so far.
    *
    * @param queryId - The query.
    * @returns The answers.
@@ -156,8 +161,8 @@
     );
   }
 
-  /** Invariants that the core found broken. */
-  get broken(): ReadonlyArray<string> {
+  /** Invariants that the core has reported as violated. */
+  get invariantViolations(): ReadonlyArray<string> {
     return this.effects.flatMap((effect) =>
       effect.kind === "log" && effect.component === "invariant" ? [effect.message] : [],
     );
@@ -169,10 +174,10 @@
 }
 
 /**
- * Makes a service with one server for each leaf.
+ * Creates a service configuration with one backend server per leaf.
  *
  * @param leafCount - Number of leafs.
- * @param change - What differs from a plain configuration.
+ * @param change - Fields that differ from the default configuration.
  * @returns The configuration.
  */
 export function testConfig(leafCount: number, change: Partial<ServiceConfig> = {}): ServiceConfig {
@@ -192,7 +197,7 @@
 }
 
 /**
- * Makes a shard map in which each shard has two replicas.
+ * Creates a shard map in which each shard has two replicas.
  *
  * @param shardCount - Number of shards.
  * @param leafCount - Number of leafs.
--- a/entry/_forwarding.ts
+++ b/entry/_forwarding.ts
@@ -1,5 +1,5 @@
 /**
- * Passes a query on to the entry that gave its ticket.
+ * Forwards a query to the entry that issued its ticket.
  *
  * @module
  */
@@ -7,38 +7,38 @@
 import { request } from "undici";
 import { ANSWER_MARGIN_MS, type Member } from "../model/mod.js";
 
-/** Header that marks a query which another entry passed on. */
+/** Header that marks a query forwarded by another entry. */
 const FORWARDED_HEADER = "rackvale-forwarded";
 
-/** A query as its caller sent it, with the response that waits for its answer. */
+/** A caller's request body, with the response to write the answer to. */
 export interface WaitingCaller {
   readonly response: ServerResponse;
   readonly body: unknown;
 }
 
-/** What the other entry answered. */
+/** Response of the other entry. */
 export interface ForwardedAnswer {
   readonly statusCode: number;
   readonly body: object;
 }
 
 /**
- * Tells whether a query was passed on by another entry.
+ * Returns whether a query was forwarded by another entry.
  *
  * @param request - The request.
- * @returns Whether it was; it is not passed on once more.
+ * @returns Whether it was forwarded; such a query is not forwarded again.
  */
 export function isForwarded({ headers }: IncomingMessage): boolean {
   return headers[FORWARDED_HEADER] === "true";
 }
 
 /**
- * Passes a query on.
+ * Forwards a query to another entry.
  *
- * @param caller - The query and where its answer goes.
+ * @param caller - Request body and response of the caller.
  * @param member - The other entry.
- * @returns Its answer.
- * @throws Where there is none in time: it cannot be told then whether the query ran.
+ * @returns Response of the other entry.
+ * @throws If no response arrives in time; it is then unknown whether the query ran.
  */
 export async function forwardQuery(
   { response, body }: WaitingCaller,
--- a/entry/admission.ts
+++ b/entry/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Admission: a query is run, refused at once or looked up under its ticket.
+ * Admission: runs a query, refuses it immediately or looks up its outcome by ticket.
  *
  * @module
  */
@@ -14,17 +14,17 @@
   type TicketDecision,
   type TicketPosition,
 } from "../tickets/mod.js";
-import { refusal, unknownOutcome } from "./answers.js";
+import { decideAdmission } from "./admission_decision.js";
+import { refusalAnswer, unknownOutcome } from "./answers.js";
 import type { EntryEffect, EntryEvent } from "./entry_messages.js";
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
-import { judge } from "./judge_query.js";
-import { takeIn } from "./start_queue.js";
-import { findTwin, nameQuery } from "./twins.js";
+import { findIdenticalQuery, withJoinKey } from "./identical_queries.js";
+import { startOrEnqueue } from "./start_queue.js";
 
 type Arrival = Extract<EntryEvent, { readonly kind: "queryArrived" }>;
 
 /**
- * Takes in a query from a caller or from another entry.
+ * Admits a query from a caller or from another entry.
  *
  * @param state - The entry's state.
  * @param arrival - The query.
@@ -35,36 +35,37 @@
   if (ticket === undefined || sequence === undefined) {
     return runOrRefuse(state, arrival, undefined);
   }
-  const place = { ticket, sequence };
-  const verdict = checkTicket(state.tickets, place, { nowMs: arrival.nowMs });
-  const handler = VERDICT_HANDLERS[verdict.kind];
-  return handler(state, arrival, { verdict: verdict as never, place });
+  const position = { ticket, sequence };
+  const decision = checkTicket(state.tickets, position, { nowMs: arrival.nowMs });
+  const handler = TICKET_HANDLERS[decision.kind];
+  return handler(state, arrival, { decision: decision as never, position });
 }
 
-interface VerdictContext<Verdict> {
-  readonly verdict: Verdict;
-  readonly place: TicketPosition;
+interface TicketContext<Decision> {
+  readonly decision: Decision;
+  readonly position: TicketPosition;
 }
 
-type VerdictHandlers = {
+type TicketHandlers = {
   readonly [K in TicketDecision["kind"]]: (
     state: EntryState,
     arrival: Arrival,
-    context: VerdictContext<Extract<TicketDecision, { readonly kind: K }>>,
+    context: TicketContext<Extract<TicketDecision, { readonly kind: K }>>,
   ) => EntryStep;
 };
 
-const VERDICT_HANDLERS: VerdictHandlers = {
-  run: (state, arrival, { place }) => runOrRefuse(state, arrival, place),
-  join: (state, arrival, { verdict }) => joinRepeat(state, arrival, verdict.queryId),
-  replay: (state, { queryId }, { verdict }) =>
-    step<EntryState, EntryEffect>(state, { kind: "answer", queryId, answer: verdict.answer }),
-  elsewhere: (state, arrival, { verdict }) => passOn(state, arrival, verdict.incarnation),
-  cannotTell: (state, { queryId, nowMs }, { verdict }) =>
+const TICKET_HANDLERS: TicketHandlers = {
+  run: (state, arrival, { position }) => runOrRefuse(state, arrival, position),
+  join: (state, arrival, { decision }) => joinRepeat(state, arrival, decision.queryId),
+  replay: (state, { queryId }, { decision }) =>
+    step<EntryState, EntryEffect>(state, { kind: "answer", queryId, answer: decision.answer }),
+  elsewhere: (state, arrival, { decision }) =>
+    forwardToIssuer(state, arrival, decision.incarnation),
+  cannotTell: (state, { queryId, nowMs }, { decision }) =>
     step<EntryState, EntryEffect>(state, {
       kind: "answer",
       queryId,
-      answer: unknownOutcome(state, nowMs, verdict.message),
+      answer: unknownOutcome(state, nowMs, decision.message),
     }),
 };
 
@@ -78,13 +79,13 @@
   return step({ ...state, queries: state.queries.set(runningId, joined) });
 }
 
-/** A repeat waits for the first one's answer, but no longer than its own deadline. */
+/** A repeat waits for the answer of the running query, until its own deadline at the latest. */
 function joinRepeat(state: EntryState, arrival: Arrival, runningId: string): EntryStep {
   const { queryId, request, nowMs } = arrival;
   const deadlineAtMs = deadlineOf(request, nowMs);
   const joined = joinQuery(state, queryId, runningId);
-  const isFirst = deadlineAtMs < (state.queries.get(runningId)?.deadlineAtMs ?? 0);
-  return isFirst
+  const endsEarlier = deadlineAtMs < (state.queries.get(runningId)?.deadlineAtMs ?? 0);
+  return endsEarlier
     ? andThen(joined, (next) =>
         step<EntryState, EntryEffect>(next, {
           kind: "setTimer",
@@ -95,8 +96,10 @@
     : joined;
 }
 
-/** Only the incarnation that made a ticket runs its queries; without it nobody can tell. */
-function passOn(state: EntryState, arrival: Arrival, incarnation: string): EntryStep {
+/**
+ * Only the incarnation that issued a ticket runs its queries; without it the outcome is unknown.
+ */
+function forwardToIssuer(state: EntryState, arrival: Arrival, incarnation: string): EntryStep {
   const { queryId, nowMs, forwarded } = arrival;
   const member = [...state.control.membership.records.values()]
     .map((record) => record.member)
@@ -105,29 +108,29 @@
     return step<EntryState, EntryEffect>(
       state,
       { kind: "forward", queryId, member },
-      logInfo("ticket", `passed ${queryId} on to ${member.memberId}`),
+      logInfo("ticket", `forwarded ${queryId} to ${member.memberId}`),
     );
   }
   const message = "Cannot tell whether the query ran: the entry that gave the ticket is gone";
   return step<EntryState, EntryEffect>(
     state,
     { kind: "answer", queryId, answer: unknownOutcome(state, nowMs, message) },
-    logWarn("ticket", `cannot tell of ${queryId}`, { incarnation }),
+    logWarn("ticket", `outcome of ${queryId} is unknown`, { incarnation }),
   );
 }
 
 function runOrRefuse(
   state: EntryState,
   arrival: Arrival,
-  ticketPlace: TicketPosition | undefined,
+  ticketPosition: TicketPosition | undefined,
 ): EntryStep {
   const { queryId, request, nowMs } = arrival;
-  const verdict = judge(state, request, nowMs);
-  if (verdict.kind === "refuse") {
-    const answer = refusal(verdict.state, nowMs, verdict.plain);
-    return refuseStep(verdict.state, arrival, answer);
+  const admission = decideAdmission(state, request, nowMs);
+  if (admission.kind === "refuse") {
+    const answer = refusalAnswer(admission.state, nowMs, admission.plain);
+    return refuseStep(admission.state, arrival, answer);
   }
-  const { plan } = verdict;
+  const { plan } = admission;
   const query: Query = {
     queryId,
     request,
@@ -144,31 +147,31 @@
     fetchIds: ImmutableMap(),
     retryAfterMs: 0,
     mayHaveRun: false,
-    ticketPlace,
+    ticketPosition,
     joinKey: "",
     joinHash: 0,
     joinedQueryIds: [],
   };
-  const twin = findTwin(verdict.state, query);
-  if (twin !== undefined) {
+  const identicalId = findIdenticalQuery(admission.state, query);
+  if (identicalId !== undefined) {
     return step<EntryState, EntryEffect>(
-      joinQuery(verdict.state, queryId, twin).state,
-      logInfo("placement", `joined ${queryId} to ${twin}`),
+      joinQuery(admission.state, queryId, identicalId).state,
+      logInfo("placement", `joined ${queryId} to ${identicalId}`),
       countOne("queries.joined", { service: request.service }),
     );
   }
   const tickets =
-    ticketPlace === undefined
-      ? verdict.state.tickets
-      : recordRunning(verdict.state.tickets, ticketPlace, queryId);
-  const told = step<EntryState, EntryEffect>(
-    { ...verdict.state, tickets },
+    ticketPosition === undefined
+      ? admission.state.tickets
+      : recordRunning(admission.state.tickets, ticketPosition, queryId);
+  const recorded = step<EntryState, EntryEffect>(
+    { ...admission.state, tickets },
     ...policyFailures(request, plan.decision),
   );
-  return andThen(told, (next) => takeIn(next, nameQuery(query), nowMs));
+  return andThen(recorded, (next) => startOrEnqueue(next, withJoinKey(query), nowMs));
 }
 
-/** The answer is written a little before the caller's deadline. */
+/** Subtracts a margin, so that the answer reaches the caller before its deadline. */
 function deadlineOf({ deadlineMs }: QueryRequest, nowMs: number): number {
   return nowMs + Math.max(1, deadlineMs - ANSWER_MARGIN_MS);
 }
--- a/entry/judge_query.ts
+++ b/entry/admission_decision.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a query is run or refused: phase, isolation, policies, prediction and limits, in that
- * order.
+ * Decides whether a query is run or refused, by phase, isolation, policies, predicted time and
+ * limits, in that order.
  *
  * @module
  */
@@ -19,12 +19,12 @@
 import type { PlainAnswer } from "./answers.js";
 import { candidatesOf, leafKey } from "./candidates.js";
 import type { EntryState } from "./entry_state.js";
-import { takesCalls } from "./leaf_view.js";
+import { acceptsCalls } from "./leaf_view.js";
 import { takeServiceToken } from "./service_limit.js";
 import { expectedStartMs } from "./start_queue.js";
 
-/** Share of the shards wanted that must look able to make the deadline. */
-const LIKELY_SHARE = 0.9;
+/** Share of the wanted shards that must be predicted to meet the deadline. */
+const ON_TIME_SHARE = 0.9;
 
 interface Plan {
   readonly service: ServiceEntry;
@@ -32,14 +32,12 @@
   readonly decision: PolicyDecision;
 }
 
-/**
- * Whether a query is run, and the state with what that took.
- */
-export type Verdict =
+/** Whether a query is run, and the state after deducting its tokens. */
+export type AdmissionDecision =
   | { readonly kind: "run"; readonly state: EntryState; readonly plan: Plan }
   | { readonly kind: "refuse"; readonly state: EntryState; readonly plain: PlainAnswer };
 
-interface PlainOptions {
+interface RefuseOptions {
   readonly retryAfterMs?: number;
   readonly revision?: number;
 }
@@ -48,20 +46,24 @@
   state: EntryState,
   statusCode: number,
   message: string,
-  { retryAfterMs = 0, revision = 0 }: PlainOptions = {},
-): Verdict {
+  { retryAfterMs = 0, revision = 0 }: RefuseOptions = {},
+): AdmissionDecision {
   return { kind: "refuse", state, plain: { statusCode, message, retryAfterMs, revision } };
 }
 
 /**
- * Judges a query by phase, isolation, policies, prediction and limits.
+ * Decides whether a query is run or refused.
  *
  * @param state - The entry's state.
  * @param request - The query.
- * @param nowMs - The present moment.
- * @returns The verdict.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The decision, and the state after deducting the query's tokens.
  */
-export function judge(state: EntryState, request: QueryRequest, nowMs: number): Verdict {
+export function decideAdmission(
+  state: EntryState,
+  request: QueryRequest,
+  nowMs: number,
+): AdmissionDecision {
   const phase = lifecyclePhase(state.control.lifecycle);
   if (phase !== "ready" && phase !== "leaving") {
     const message = `Cannot run the query: this entry is ${phase}`;
@@ -80,17 +82,17 @@
     const message = `Cannot run the query: service "${request.service}" has no shard map`;
     return refuse(state, 503, message, { retryAfterMs: 1_000, revision: service.revision });
   }
-  return judgePolicies(state, { request, service, shardMap, nowMs });
+  return decideByPolicies(state, { request, service, shardMap, nowMs });
 }
 
-interface JudgeContext {
+interface DecisionContext {
   readonly request: QueryRequest;
   readonly service: ServiceEntry;
   readonly shardMap: ShardMap;
   readonly nowMs: number;
 }
 
-function judgePolicies(state: EntryState, context: JudgeContext): Verdict {
+function decideByPolicies(state: EntryState, context: DecisionContext): AdmissionDecision {
   const { request, service, shardMap, nowMs } = context;
   const { revision } = service;
   const input = policyInput(request, {
@@ -106,10 +108,10 @@
   if (snapshot === undefined) {
     return refuse(state, 503, "Cannot run the query: no current snapshot", { revision });
   }
-  const late = predictLate(state, { ...context, snapshot, decision });
-  if (late > 0) {
+  const latenessMs = predictLatenessMs(state, { ...context, snapshot, decision });
+  if (latenessMs > 0) {
     const message = "Cannot run the query: it would miss its deadline";
-    return refuse(state, 503, message, { retryAfterMs: late, revision });
+    return refuse(state, 503, message, { retryAfterMs: latenessMs, revision });
   }
   const byCaller = takeCallerToken(state, request, decision, nowMs);
   if (byCaller.waitMs > 0) {
@@ -128,21 +130,21 @@
   let available = 0;
   for (const leafId of leafs.keys()) {
     const view = state.leafViews.get(leafKey(config.service, leafId));
-    available += view === undefined || takesCalls(view, nowMs) ? 1 : 0;
+    available += view === undefined || acceptsCalls(view, nowMs) ? 1 : 0;
   }
   return leafs.size === 0 ? 0 : available / leafs.size;
 }
 
-interface PredictOptions extends JudgeContext {
+interface PredictOptions extends DecisionContext {
   readonly snapshot: SnapshotSpec;
   readonly decision: PolicyDecision;
 }
 
 /**
- * Works out by how much the query would miss its deadline; shards that no leaf holds now do not
- * count, since waiting would not bring them.
+ * Predicts by how much the query would miss its deadline, in milliseconds. Shards without an
+ * available leaf are left out, since waiting does not help them.
  */
-function predictLate(
+function predictLatenessMs(
   state: EntryState,
   { request, snapshot, decision, nowMs }: PredictOptions,
 ): number {
@@ -153,48 +155,51 @@
     .map((candidates) => Math.min(...candidates.map((candidate) => candidate.predictedMs)))
     .sort((a, b) => a - b);
   const wanted = Math.min(request.wantedCoverage, decision.finishCoverage);
-  const needed = Math.ceil(predicted.length * wanted * LIKELY_SHARE);
+  const needed = Math.ceil(predicted.length * wanted * ON_TIME_SHARE);
   const slowest = predicted[needed - 1] ?? 0;
   const startMs = expectedStartMs(state, request);
   return Math.ceil(Math.max(0, startMs + slowest - budgetMs));
 }
 
-interface Taken {
+interface CallerTokenResult {
   readonly state: EntryState;
-  /** Time until a token is there; 0 when one was taken. */
+  /** Time until a token is available, in milliseconds; 0 if one was taken. */
   readonly waitMs: number;
 }
 
-/** Callers keep their rate on each entry; one that spreads over entries is held by the service's. */
+/**
+ * The limit applies per entry; a caller that uses several entries is bounded by the service's
+ * limit.
+ */
 function takeCallerToken(
   state: EntryState,
   request: QueryRequest,
-  { callerRequestsPerSecond: callerPerSecond }: PolicyDecision,
+  { callerRequestsPerSecond }: PolicyDecision,
   nowMs: number,
-): Taken {
-  if (callerPerSecond <= 0) {
+): CallerTokenResult {
+  if (callerRequestsPerSecond <= 0) {
     return { state, waitMs: 0 };
   }
   const key = `${request.service} ${request.caller}`;
-  const rate = { perSecond: callerPerSecond, burst: Math.max(1, callerPerSecond) };
-  const held = state.callerBuckets.get(key) ?? { tokens: rate.burst, updatedAtMs: nowMs };
-  const bucket = refill(held, rate, { nowMs });
+  const rate = { perSecond: callerRequestsPerSecond, burst: Math.max(1, callerRequestsPerSecond) };
+  const stored = state.callerBuckets.get(key) ?? { tokens: rate.burst, updatedAtMs: nowMs };
+  const bucket = refill(stored, rate, { nowMs });
   const waitMs = msUntilToken(bucket, rate);
-  const left = waitMs > 0 ? bucket : { ...bucket, tokens: bucket.tokens - 1 };
-  return { state: { ...state, callerBuckets: state.callerBuckets.set(key, left) }, waitMs };
+  const updated = waitMs > 0 ? bucket : { ...bucket, tokens: bucket.tokens - 1 };
+  return { state: { ...state, callerBuckets: state.callerBuckets.set(key, updated) }, waitMs };
 }
 
-/** Time after which a caller's bucket is full again for certain, in milliseconds. */
+/** Time after which the bucket of an idle caller counts as full, in milliseconds. */
 const CALLER_IDLE_MS = 10_000;
 
 /**
- * Forgets callers that have been quiet, so that their number does not grow for ever.
+ * Removes the buckets of idle callers, so that their number stays bounded.
  *
  * @param state - The entry's state.
- * @param nowMs - The present moment.
- * @returns The state after that.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The updated state.
  */
-export function forgetCallers(state: EntryState, nowMs: number): EntryState {
+export function removeIdleCallers(state: EntryState, nowMs: number): EntryState {
   const callerBuckets = state.callerBuckets.filter((bucket) => {
     return nowMs - bucket.updatedAtMs < CALLER_IDLE_MS;
   });
--- a/entry/answers.ts
+++ b/entry/answers.ts
@@ -1,5 +1,5 @@
 /**
- * Answers: final words to a caller.
+ * Builds the answers to callers.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { GroupSummary } from "../query/mod.js";
 import type { EntryState } from "./entry_state.js";
 
-/** What a refusal or an unknown outcome says. */
+/** Content of an answer without rows: a refusal or an unknown outcome. */
 export interface PlainAnswer {
   readonly statusCode: number;
   readonly message: string;
@@ -17,23 +17,23 @@
 }
 
 /**
- * Makes the answer to a query that was not run.
+ * Builds the answer to a query that was not run.
  *
  * @param state - The entry's state.
- * @param nowMs - The present moment.
- * @param plain - What to say.
+ * @param nowMs - Current time, in milliseconds.
+ * @param plain - Content of the answer.
  * @returns The answer.
  */
-export function refusal(state: EntryState, nowMs: number, plain: PlainAnswer): QueryAnswer {
+export function refusalAnswer(state: EntryState, nowMs: number, plain: PlainAnswer): QueryAnswer {
   return { ...plainAnswer(state, nowMs, plain), outcome: "refused", notRun: true };
 }
 
 /**
- * Makes the answer to a query of which nobody can tell whether it ran.
+ * Builds the answer to a query that may or may not have run.
  *
  * @param state - The entry's state.
- * @param nowMs - The present moment.
- * @param message - Why it cannot be told.
+ * @param nowMs - Current time, in milliseconds.
+ * @param message - Why the outcome is unknown.
  * @returns The answer.
  */
 export function unknownOutcome(state: EntryState, nowMs: number, message: string): QueryAnswer {
@@ -65,7 +65,7 @@
   unknown: "Cannot tell whether the query ran: no leaf answered in time",
 };
 
-/** What an answer needs besides its summary. */
+/** Fields of an answer that the summary does not contain. */
 export interface SummaryAnswerOptions {
   readonly snapshot: string;
   readonly revision: number;
@@ -74,11 +74,11 @@
 }
 
 /**
- * Makes the answer of a query that was sent to leafs.
+ * Builds the answer to a query that was sent to leafs.
  *
  * @param state - The entry's state.
- * @param summary - What became of it.
- * @param options - What the answer needs besides.
+ * @param summary - Outcome, coverage and merged rows of the query.
+ * @param options - Fields that the summary does not contain.
  * @returns The answer.
  */
 export function summaryAnswer(
--- a/entry/attempts.ts
+++ b/entry/attempts.ts
@@ -1,5 +1,5 @@
 /**
- * Attempts: sending a fetch's calls, the extra ones within the service's budget.
+ * Attempts: sends the calls of a fetch, extra ones within the service's budget.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { Attempt, EntryState, EntryStep, Fetch } from "./entry_state.js";
 import { UNKNOWN_LEAF } from "./leaf_view.js";
 
-/** Least time left that an attempt is worth, in milliseconds. */
+/** Minimum remaining time for an extra attempt, in milliseconds. */
 export const MIN_ATTEMPT_MS = 2;
 
 interface SendOptions extends Target {
@@ -19,14 +19,14 @@
 }
 
 /**
- * Sends a fetch's call; one that would run twice what must not is held back.
+ * Sends a call of a fetch, unless it might run a query that is not repeatable a second time.
  *
  * @param state - The entry's state.
  * @param fetch - The fetch.
- * @param options - Where to and what for.
+ * @param options - Leaf, pool and purpose of the call.
  * @returns The step.
  */
-export function send(
+export function sendAttempt(
   state: EntryState,
   fetch: Fetch,
   { leaf, poolId, purpose, nowMs }: SendOptions,
@@ -49,12 +49,12 @@
     fetches: state.fetches.set(fetch.fetchId, sent),
     leafViews: state.leafViews.set(key, { ...view, sentSinceReport: view.sentSinceReport + 1 }),
   };
-  const broken =
+  const violations =
     !fetch.repeatable && fetch.attempts.some((earlier) => !earlier.notRun)
       ? invariantBroken("at most once", { fetchId: fetch.fetchId, shard: fetch.shard })
       : [];
-  if (broken.length > 0) {
-    return step<EntryState, EntryEffect>(state, ...broken);
+  if (violations.length > 0) {
+    return step<EntryState, EntryEffect>(state, ...violations);
   }
   return step<EntryState, EntryEffect>(
     next,
@@ -79,14 +79,14 @@
 }
 
 /**
- * Sends a call beyond the first, if budget and time allow it.
+ * Sends a hedge or retry, if the budget and the remaining time allow it.
  *
  * @param state - The entry's state.
  * @param fetch - The fetch.
- * @param options - Where to and what for.
- * @returns The step; the state is the same where nothing was sent.
+ * @param options - Leaf, pool and purpose of the call.
+ * @returns The step; its state is unchanged if nothing was sent.
  */
-export function sendExtra(
+export function sendExtraAttempt(
   state: EntryState,
   fetch: Fetch,
   options: SendOptions & { readonly purpose: ExtraCallKind },
@@ -94,20 +94,27 @@
   if (fetch.deadlineAtMs - options.nowMs < MIN_ATTEMPT_MS) {
     return step(state);
   }
-  if (isFree(fetch)) {
-    return send(state, fetch, options);
+  if (isExemptFromBudget(fetch)) {
+    return sendAttempt(state, fetch, options);
   }
-  const budget = takeExtraCall(state.extraLoad.get(fetch.service) ?? FULL_BUDGET, options.purpose);
+  const budget = takeExtraCall(
+    state.extraLoadBudgets.get(fetch.service) ?? FULL_BUDGET,
+    options.purpose,
+  );
   return budget === undefined
     ? step(state)
-    : send({ ...state, extraLoad: state.extraLoad.set(fetch.service, budget) }, fetch, options);
+    : sendAttempt(
+        { ...state, extraLoadBudgets: state.extraLoadBudgets.set(fetch.service, budget) },
+        fetch,
+        options,
+      );
 }
 
 /**
- * Tells whether another attempt puts no extra load on a failing service: none of the earlier ones
- * reached a leaf, or the last was lost with its pool.
+ * Returns whether another attempt is exempt from the budget, as it adds no load to a failing
+ * service: none of the earlier attempts reached a leaf, or the last one failed with its pool.
  */
-function isFree(fetch: Fetch): boolean {
+function isExemptFromBudget(fetch: Fetch): boolean {
   const ended = fetch.attempts.every((attempt) => !attempt.pending);
   const noneRan = fetch.attempts.every((attempt) => attempt.notRun);
   return ended && (noneRan || fetch.lastReason === "pool lost");
--- a/entry/call_results.ts
+++ b/entry/call_results.ts
@@ -1,37 +1,37 @@
 /**
- * What became of calls: rows, refusals and failures, and whether to try again.
+ * Results of calls: rows, refusals and failures, and the decision to retry.
  *
  * @module
  */
 import { countOne, step } from "../core/mod.js";
 import type { MissingReason, Row } from "../model/mod.js";
-import { sendExtra } from "./attempts.js";
+import { sendExtraAttempt } from "./attempts.js";
 import { chooseTarget, leafKey } from "./candidates.js";
 import type { CallResult, EntryEffect } from "./entry_messages.js";
 import type { Attempt, EntryState, EntryStep, Fetch } from "./entry_state.js";
-import { type FetchStep, going, removeFetch } from "./fetches.js";
+import { type FetchStep, removeFetch, unsettled } from "./fetches.js";
 import { observeLatency } from "./hedging.js";
-import { noteCall, UNKNOWN_LEAF } from "./leaf_view.js";
+import { recordCallOutcome, UNKNOWN_LEAF } from "./leaf_view.js";
 
 /**
- * Takes in what became of a call.
+ * Applies the result of a call.
  *
  * @param state - The entry's state.
- * @param result - The result; one of a call no longer known is dropped.
- * @param nowMs - The present moment.
- * @returns The step, with the fetch it settled.
+ * @param result - The result; it is dropped if the call is not pending.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The step, with the fetch that the result settled.
  */
-export function takeResult(state: EntryState, result: CallResult, nowMs: number): FetchStep {
+export function applyResult(state: EntryState, result: CallResult, nowMs: number): FetchStep {
   const fetch = state.fetches.get(fetchIdOf(result.callId));
   const attempt = fetch?.attempts.find((each) => each.callId === result.callId);
   if (fetch === undefined || attempt === undefined || !attempt.pending) {
-    return going(step<EntryState, EntryEffect>(state, countOne("leaf.late_results")));
+    return unsettled(step<EntryState, EntryEffect>(state, countOne("leaf.late_results")));
   }
-  const taken = RESULT_HANDLERS[result.kind];
-  return taken(state, result as never, { fetch, attempt, nowMs });
+  const handler = RESULT_HANDLERS[result.kind];
+  return handler(state, result as never, { fetch, attempt, nowMs });
 }
 
-/** A call's id is that of its fetch and the number of the attempt. */
+/** A call ID consists of the fetch ID and the number of the attempt. */
 function fetchIdOf(callId: string): string {
   return callId.slice(0, callId.indexOf("."));
 }
@@ -55,7 +55,7 @@
   refused: (state, { reason, retryAfterMs }, context) =>
     endAttempt(state, { ...context, reason, retryAfterMs, notRun: true }),
   failed: (state, { reason }, context) =>
-    endAttempt(noteLeaf(state, context, true), {
+    endAttempt(recordLeafOutcome(state, context, true), {
       ...context,
       reason,
       retryAfterMs: 0,
@@ -79,7 +79,7 @@
   }
   const rows = result.shard === fetch.shard ? parseRows(result) : undefined;
   if (rows === undefined) {
-    const failed = noteLeaf(state, context, true);
+    const failed = recordLeafOutcome(state, context, true);
     return endAttempt(failed, {
       ...context,
       reason: "malformed answer",
@@ -87,7 +87,7 @@
       notRun: false,
     });
   }
-  const observed = observeLatency(noteLeaf(state, context, false), fetch, {
+  const observed = observeLatency(recordLeafOutcome(state, context, false), fetch, {
     attempt,
     nowMs,
   });
@@ -112,21 +112,21 @@
   return typeof row === "object" && row !== null && !Array.isArray(row);
 }
 
-function noteLeaf(
+function recordLeafOutcome(
   state: EntryState,
   { fetch, attempt, nowMs }: ResultContext,
   failed: boolean,
 ): EntryState {
   const key = leafKey(fetch.service, attempt.leafId);
   const view = state.leafViews.get(key) ?? UNKNOWN_LEAF;
-  const noted = noteCall(view, failed, {
+  const updated = recordCallOutcome(view, failed, {
     nowMs,
     mayEject: failed && mayEject(state, fetch, nowMs),
   });
-  return noted === view ? state : { ...state, leafViews: state.leafViews.set(key, noted) };
+  return updated === view ? state : { ...state, leafViews: state.leafViews.set(key, updated) };
 }
 
-/** At most a third of a service's leafs are left out at a time. */
+/** At most a third of a service's leafs are ejected at a time. */
 function mayEject(state: EntryState, { service }: Fetch, nowMs: number): boolean {
   const leafs = state.control.catalog.services.get(service)?.leafs;
   if (leafs === undefined) {
@@ -151,15 +151,15 @@
     lastReason: reason,
     lastRetryAfterMs: retryAfterMs,
   };
-  const kept = { ...state, fetches: state.fetches.set(fetch.fetchId, fetch) };
+  const updated = { ...state, fetches: state.fetches.set(fetch.fetchId, fetch) };
   if (fetch.attempts.some((each) => each.pending)) {
-    return going(step<EntryState, EntryEffect>(kept));
+    return unsettled(step<EntryState, EntryEffect>(updated));
   }
-  const retried = retry(kept, fetch, nowMs);
+  const retried = retry(updated, fetch, nowMs);
   if (retried !== undefined) {
-    return going(retried);
+    return unsettled(retried);
   }
-  const ended = removeFetch(kept, fetch);
+  const ended = removeFetch(updated, fetch);
   const ran = fetch.attempts.some((each) => !each.notRun);
   return { ...ended, settled: { fetch, outcome: { kind: "lacking", reason, notRun: !ran } } };
 }
@@ -181,6 +181,6 @@
   if (target === undefined) {
     return undefined;
   }
-  const sent = sendExtra(state, retrying, { ...target, purpose: "retry", nowMs });
+  const sent = sendExtraAttempt(state, retrying, { ...target, purpose: "retry", nowMs });
   return sent.state === state ? undefined : sent;
 }
--- a/entry/candidates.ts
+++ b/entry/candidates.ts
@@ -1,5 +1,5 @@
 /**
- * Leafs and pools that a call may go to.
+ * Selection of the leaf and the pool for a call.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 import { ownersOf } from "../control/mod.js";
 import { countAlive } from "../membership/mod.js";
 import type { EntryState, Fetch } from "./entry_state.js";
-import { type Candidate, chooseLeaf, predictMs, takesCalls, UNKNOWN_LEAF } from "./leaf_view.js";
+import { acceptsCalls, type Candidate, chooseLeaf, predictMs, UNKNOWN_LEAF } from "./leaf_view.js";
 
 /**
- * Names a leaf among all services.
+ * Builds the key that identifies a leaf across services.
  *
  * @param service - The service.
  * @param leafId - The leaf within it.
@@ -21,12 +21,12 @@
 }
 
 /**
- * Lists the leafs that a shard's call may go to now.
+ * Lists the leafs that can receive a call for a shard.
  *
  * @param state - The entry's state.
  * @param fetch - Service and replicas of the shard.
- * @param nowMs - The present moment.
- * @returns Available leafs; those left out for failures only where there is no other.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns Available leafs; ejected ones only if there are no others.
  */
 export function candidatesOf(
   state: EntryState,
@@ -39,7 +39,7 @@
   for (const leafId of fetch.leafIds) {
     const leaf = service?.leafs.get(leafId);
     const view = state.leafViews.get(leafKey(fetch.service, leafId)) ?? UNKNOWN_LEAF;
-    if (leaf !== undefined && takesCalls(view, nowMs)) {
+    if (leaf !== undefined && acceptsCalls(view, nowMs)) {
       all.push({ leaf, view, predictedMs: predictMs(view, leaf, { nowMs, entries }) });
     }
   }
@@ -47,20 +47,18 @@
   return healthy.length > 0 ? healthy : all;
 }
 
-/**
- * Leaf and pool that a call goes to.
- */
+/** Leaf and pool that a call goes to. */
 export interface Target {
   readonly leaf: Leaf;
   readonly poolId: string;
 }
 
-/** Chooses leaf and pool: first a leaf not tried, last a leaf tried through another pool. */
+/** Chooses leaf and pool for the next attempt; prefers leafs that have not been tried. */
 export function chooseTarget(state: EntryState, fetch: Fetch, nowMs: number): Target | undefined {
   const candidates = candidatesOf(state, fetch, nowMs);
   const tried = new Set(fetch.attempts.map((attempt) => attempt.leafId));
-  const fresh = candidates.filter((candidate) => !tried.has(candidate.leaf.leafId));
-  const chosen = chooseLeaf(fresh.length > 0 ? fresh : candidates, fetch.placement, {
+  const untried = candidates.filter((candidate) => !tried.has(candidate.leaf.leafId));
+  const chosen = chooseLeaf(untried.length > 0 ? untried : candidates, fetch.placement, {
     affinityKey: fetch.shareKey === "" ? fetch.fetchId : fetch.shareKey,
     dataCentre: state.control.membership.self.dataCentre,
   });
@@ -71,11 +69,16 @@
   return poolId === undefined ? undefined : { leaf: chosen.leaf, poolId };
 }
 
-/** Takes the leaf's owner, or the next in rank while the owner is silent. */
+/** Selects the leaf's owner, or the next pool in rank while the owner is unresponsive. */
 function choosePool(state: EntryState, leaf: Leaf): string | undefined {
   const open = ownersOf(state.control.membership, leaf)
     .map((pool) => pool.memberId)
     .filter((poolId) => state.openPools.has(poolId));
-  const heard = (poolId: string) => !state.silentPools.has(poolId);
-  return open.find(heard) ?? state.openPools.find(heard) ?? open[0] ?? state.openPools.first();
+  const isResponsive = (poolId: string) => !state.unresponsivePools.has(poolId);
+  return (
+    open.find(isResponsive) ??
+    state.openPools.find(isResponsive) ??
+    open[0] ??
+    state.openPools.first()
+  );
 }
--- a/entry/entry_core.ts
+++ b/entry/entry_core.ts
@@ -1,5 +1,5 @@
 /**
- * The entry's core: one reducer over all events, as an xstate logic.
+ * The entry's core: one reducer over all events, wrapped as xstate logic.
  *
  * @module
  */
@@ -11,18 +11,18 @@
 import type { Member } from "../model/mod.js";
 import { issueTicket } from "../tickets/mod.js";
 import { admitQuery } from "./admission.js";
-import { takeResult } from "./call_results.js";
+import { removeIdleCallers } from "./admission_decision.js";
+import { applyResult } from "./call_results.js";
 import { leafKey } from "./candidates.js";
 import type { CallResult, EntryEffect, EntryEvent } from "./entry_messages.js";
 import { type EntryState, type EntryStep, newEntryState } from "./entry_state.js";
 import type { SettledFetch } from "./fetches.js";
-import { dropQuery, finishQuery, leaveJoined } from "./finish_query.js";
+import { abandonQuery, answerJoinedAtDeadline, finishQuery } from "./finish_query.js";
 import { hedgeFetch } from "./hedging.js";
-import { forgetCallers } from "./judge_query.js";
-import { takeReport, UNKNOWN_LEAF } from "./leaf_view.js";
+import { applyReport, UNKNOWN_LEAF } from "./leaf_view.js";
 import { settleAll } from "./queries.js";
-import { borrowTokens, lendTokens, takeLoan } from "./service_limit.js";
-import { startNext, wakeQueue } from "./start_queue.js";
+import { applyLoan, borrowTokens, lendTokens } from "./service_limit.js";
+import { scheduleQueueCheck, startNext } from "./start_queue.js";
 
 type OwnEvent = Exclude<EntryEvent, Parameters<typeof stepControl>[1]>;
 
@@ -35,7 +35,7 @@
 
 const HANDLERS: Handlers = {
   queryArrived: admitQuery,
-  callerGone: (state, { queryId }) => dropQuery(state, queryId),
+  callerGone: (state, { queryId }) => abandonQuery(state, queryId),
   ticketWanted: (state, { requestId, nowMs }) => {
     const { ticket, tickets } = issueTicket(state.tickets, { nowMs });
     return step<EntryState, EntryEffect>(
@@ -46,125 +46,135 @@
   queryDeadline: (state, { id, nowMs }) => {
     const query = state.queries.get(id);
     return query === undefined
-      ? leaveJoined(state, id, nowMs)
+      ? answerJoinedAtDeadline(state, id, nowMs)
       : finishQuery(state, query, { unsettledReason: "deadline", nowMs });
   },
   hedge: (state, { id, nowMs }) => hedgeFetch(state, id, nowMs),
   startNext: (state, { nowMs }) => startNext(state, nowMs),
   poolOpened: (state, { poolId }) => step({ ...state, openPools: state.openPools.add(poolId) }),
-  poolLost: losePool,
-  resultsArrived: takeResults,
+  poolLost: onPoolLost,
+  resultsArrived: onResultsArrived,
   borrowArrived: lendTokens,
-  loanArrived: takeLoan,
+  loanArrived: applyLoan,
 };
 
 /**
- * Runs one event through the entry's core.
+ * Applies one event to the entry's state.
  *
- * @param state - State so far.
- * @param event - What happened.
- * @returns State after that and what is to be done.
+ * @param state - The current state.
+ * @param event - The event.
+ * @returns The next state, and the effects to run.
  */
 export function stepEntry(state: EntryState, event: EntryEvent): EntryStep {
   const handled = isControlEvent(event)
     ? handleControl(state, event)
     : (HANDLERS[event.kind] as (state: EntryState, event: EntryEvent) => EntryStep)(state, event);
-  return stopWhenDrained(andThen(handled, (next) => wakeQueue(state, next)));
+  return stopWhenDrained(andThen(handled, (next) => scheduleQueueCheck(state, next)));
 }
 
 function handleControl(state: EntryState, event: Parameters<typeof stepControl>[1]): EntryStep {
   const { state: control, effects } = stepControl(state.control, event);
-  const made: EntryStep = { state: { ...state, control }, effects };
-  const withPools = andThen(made, (next) => linkPools(state, next));
+  const applied: EntryStep = { state: { ...state, control }, effects };
+  const withPools = andThen(applied, (next) => linkPools(state, next));
   return event.kind === "controlTick"
-    ? andThen(withPools, (next) => borrowTokens(forgetCallers(next, event.nowMs), event.nowMs))
+    ? andThen(withPools, (next) => borrowTokens(removeIdleCallers(next, event.nowMs), event.nowMs))
     : withPools;
 }
 
-/** Asks for links to the pools in use whenever membership has changed. */
+/** Requests links to the pools if the set of pools has changed. */
 function linkPools(before: EntryState, state: EntryState): EntryStep {
   if (before.control.membership.records === state.control.membership.records) {
     return step(state);
   }
   const pools = linkedPools(state);
-  const known = linkedPools(before);
-  const same =
-    pools.length === known.length &&
-    pools.every((pool, index) => pool.incarnation === known[index]?.incarnation);
-  return same ? step(state) : step<EntryState, EntryEffect>(state, { kind: "openPools", pools });
+  const previous = linkedPools(before);
+  const isUnchanged =
+    pools.length === previous.length &&
+    pools.every((pool, index) => pool.incarnation === previous[index]?.incarnation);
+  return isUnchanged
+    ? step(state)
+    : step<EntryState, EntryEffect>(state, { kind: "openPools", pools });
 }
 
-/** A pool that leaves keeps its link, since calls to it may be in flight. */
+/** Includes leaving pools, since calls to them may be in flight. */
 function linkedPools(state: EntryState): ReadonlyArray<Member> {
   return [...state.control.membership.records.values()]
     .map((record) => record.member)
     .filter((member) => member.role === "pool" && member.state !== "dead");
 }
 
-function losePool(
+function onPoolLost(
   state: EntryState,
   { poolId, nowMs }: Extract<EntryEvent, { readonly kind: "poolLost" }>,
 ): EntryStep {
-  const lost: ReadonlyArray<CallResult> = [...state.fetches.values()].flatMap((fetch) =>
+  const failures: ReadonlyArray<CallResult> = [...state.fetches.values()].flatMap((fetch) =>
     fetch.attempts
       .filter((attempt) => attempt.pending && attempt.poolId === poolId)
       .map(({ callId }) => ({ kind: "failed", callId, reason: "pool lost" }) as const),
   );
-  const without = { ...state, openPools: state.openPools.delete(poolId) };
-  return takeEach(without, lost, nowMs);
+  const withoutPool = { ...state, openPools: state.openPools.delete(poolId) };
+  return applyResults(withoutPool, failures, nowMs);
 }
 
-function takeResults(
+function onResultsArrived(
   state: EntryState,
   { poolId, results, reports, nowMs }: Extract<EntryEvent, { readonly kind: "resultsArrived" }>,
 ): EntryStep {
   const leafViews = state.leafViews.withMutations((views) => {
     for (const report of reports) {
       const key = leafKey(report.service, report.leafId);
-      views.set(key, takeReport(views.get(key) ?? UNKNOWN_LEAF, report, nowMs));
+      views.set(key, applyReport(views.get(key) ?? UNKNOWN_LEAF, report, nowMs));
     }
   });
-  const poolHeardAtMs = state.poolHeardAtMs.set(poolId, nowMs);
-  const silentPools = state.silentPools.delete(poolId);
-  return takeEach({ ...state, leafViews, poolHeardAtMs, silentPools }, results, nowMs);
+  const poolLastContactAtMs = state.poolLastContactAtMs.set(poolId, nowMs);
+  const unresponsivePools = state.unresponsivePools.delete(poolId);
+  return applyResults(
+    { ...state, leafViews, poolLastContactAtMs, unresponsivePools },
+    results,
+    nowMs,
+  );
 }
 
-function takeEach(state: EntryState, results: ReadonlyArray<CallResult>, nowMs: number): EntryStep {
+function applyResults(
+  state: EntryState,
+  results: ReadonlyArray<CallResult>,
+  nowMs: number,
+): EntryStep {
   const settled: Array<SettledFetch> = [];
-  const taken = forEachStep(step<EntryState, EntryEffect>(state), results, (next, result) => {
-    const made = takeResult(next, result, nowMs);
-    if (made.settled !== undefined) {
-      settled.push(made.settled);
+  const combined = forEachStep(step<EntryState, EntryEffect>(state), results, (next, result) => {
+    const applied = applyResult(next, result, nowMs);
+    if (applied.settled !== undefined) {
+      settled.push(applied.settled);
     }
-    return made;
+    return applied;
   });
-  return andThen(taken, (next) => settleAll(next, settled, nowMs));
+  return andThen(combined, (next) => settleAll(next, settled, nowMs));
 }
 
-function stopWhenDrained(made: EntryStep): EntryStep {
-  const { control, queries } = made.state;
+function stopWhenDrained(last: EntryStep): EntryStep {
+  const { control, queries } = last.state;
   if (lifecyclePhase(control.lifecycle) !== "finishing" || !queries.isEmpty()) {
-    return made;
+    return last;
   }
   const lifecycle = transitionLifecycle(control.lifecycle, "drained");
-  const stopped = { ...made.state, control: { ...control, lifecycle } };
-  return { state: stopped, effects: [...made.effects, { kind: "stop" }] };
+  const stopped = { ...last.state, control: { ...control, lifecycle } };
+  return { state: stopped, effects: [...last.effects, { kind: "stop" }] };
 }
 
 /**
- * Lists the entries that callers may use now: those alive, or this one where it knows of none.
+ * Lists the entries that callers may use: all alive ones, or this one if none is known.
  *
  * @param state - The entry's state.
  * @returns The entries.
  */
-export function advisedEntries(state: EntryState): ReadonlyArray<Member> {
+export function listedEntries(state: EntryState): ReadonlyArray<Member> {
   const alive = aliveMembers(state.control.membership, "entry");
   return alive.length > 0 ? alive : [state.control.membership.self];
 }
 
 /**
- * Makes the core's xstate logic; its context is the last step, so that the shell finds the effects
- * of each event there.
+ * Creates the core's xstate logic. Its context is the last step, from which the shell reads the
+ * effects of each event.
  *
  * @param options - Settings of the control slice.
  * @returns The logic.
--- a/entry/entry_core_test.ts
+++ b/entry/entry_core_test.ts
@@ -35,241 +35,257 @@
   return { kind: "refused", callId: call.callId, reason: "overloaded", retryAfterMs: 7 };
 }
 
-t.test("the core merges what a naive scatter-gather would, for any order and loss", async (t) => {
-  const fate = fc.constantFrom("answer", "lose", "other snapshot", "short", "fail", "refuse");
-  fc.assert(
-    fc.property(
-      fc.array(fc.tuple(fate, fc.nat(1_000), fc.boolean()), {
-        minLength: 1,
-        maxLength: 60,
-        size: "max",
-      }),
-      fc.integer({ min: 1, max: 8 }),
-      fc.boolean(),
-      (fates, shards, isOrdered) => {
-        const core = harness(shards);
-        const merge = isOrdered ? { orderBy: "price", limitRows: 5 } : {};
-        let open = [...core.ask("q1", { merge })];
-        const arrived: Array<{ snapshot: string; shard: string; rows: typeof rows }> = [];
-        const rows = rowsOf("s0");
-        for (const [kind, pick, isDoubled] of fates) {
-          const call = open[pick % Math.max(1, open.length)];
-          if (call === undefined) {
-            break;
-          }
-          open = open.filter((each) => each !== call);
-          const results: Readonly<Record<typeof kind, CallResult | undefined>> = {
-            answer: answered(call),
-            lose: undefined,
-            "other snapshot": answered(call, { snapshot: "v0" }),
-            short: answered(call, { rowCount: 3 }),
-            fail: failed(call),
-            refuse: refused(call),
-          };
-          const result = results[kind];
-          if (result !== undefined) {
-            if (kind === "answer") {
-              arrived.push({ snapshot: "v1", shard: call.shard, rows: rowsOf(call.shard) });
+t.test(
+  "the core merges the same rows as a naive scatter-gather, for any order and failures",
+  async (t) => {
+    const outcome = fc.constantFrom("answer", "drop", "other snapshot", "short", "fail", "refuse");
+    fc.assert(
+      fc.property(
+        fc.array(fc.tuple(outcome, fc.nat(1_000), fc.boolean()), {
+          minLength: 1,
+          maxLength: 60,
+          size: "max",
+        }),
+        fc.integer({ min: 1, max: 8 }),
+        fc.boolean(),
+        (outcomes, shards, isOrdered) => {
+          const core = harness(shards);
+          const merge = isOrdered ? { orderBy: "price", limitRows: 5 } : {};
+          let open = [...core.query("q1", { merge })];
+          const arrived: Array<{ snapshot: string; shard: string; rows: typeof rows }> = [];
+          const rows = rowsOf("s0");
+          for (const [kind, pick, isDuplicate] of outcomes) {
+            const call = open[pick % Math.max(1, open.length)];
+            if (call === undefined) {
+              break;
             }
-            open.push(...core.give(result));
-            if (isDoubled) {
-              open.push(...core.give(result));
+            open = open.filter((each) => each !== call);
+            const results: Readonly<Record<typeof kind, CallResult | undefined>> = {
+              answer: answered(call),
+              drop: undefined,
+              "other snapshot": answered(call, { snapshot: "v0" }),
+              short: answered(call, { rowCount: 3 }),
+              fail: failed(call),
+              refuse: refused(call),
+            };
+            const result = results[kind];
+            if (result !== undefined) {
+              if (kind === "answer") {
+                arrived.push({ snapshot: "v1", shard: call.shard, rows: rowsOf(call.shard) });
+              }
+              open.push(...core.deliver(result));
+              if (isDuplicate) {
+                open.push(...core.deliver(result));
+              }
             }
           }
-        }
-        core.nowMs += 492;
-        core.send({ kind: "queryDeadline", id: "q1" });
-        const answers = core.answersTo("q1");
-        const names = Array.from({ length: shards }, (_, index) => `s${index}`);
-        const naive = naiveGather(names, arrived, { snapshot: "v1", merge });
-        t.same(core.broken, []);
-        return (
-          answers.length === 1 &&
-          JSON.stringify(answers[0]?.rows) === JSON.stringify(naive.rows) &&
-          JSON.stringify(answers[0]?.coverage.included) ===
-            JSON.stringify(naive.coverage.included) &&
-          answers[0]?.coverage.lacking.length === naive.coverage.lacking.length
-        );
-      },
-    ),
-    { numRuns: 3_000, seed: 42 },
-  );
-});
+          core.nowMs += 492;
+          core.send({ kind: "queryDeadline", id: "q1" });
+          const answers = core.answersTo("q1");
+          const names = Array.from({ length: shards }, (_, index) => `s${index}`);
+          const naive = naiveGather(names, arrived, { snapshot: "v1", merge });
+          t.same(core.invariantViolations, []);
+          return (
+            answers.length === 1 &&
+            JSON.stringify(answers[0]?.rows) === JSON.stringify(naive.rows) &&
+            JSON.stringify(answers[0]?.coverage.included) ===
+              JSON.stringify(naive.coverage.included) &&
+            answers[0]?.coverage.lacking.length === naive.coverage.lacking.length
+          );
+        },
+      ),
+      { numRuns: 3_000, seed: 42 },
+    );
+  },
+);
 
-t.test("the core never merges an answer read at another snapshot", async (t) => {
+t.test("the core never merges an answer from another snapshot", async (t) => {
   const core = harness(1);
-  const [call] = core.ask("q1", {});
-  const [retry] = core.give(answered(call as LeafCall, { snapshot: "v2" }));
-  t.not(retry?.leafId, call?.leafId, "the other replica is asked");
-  core.give(answered(retry as LeafCall, { snapshot: "v2" }));
+  const [call] = core.query("q1", {});
+  const [retry] = core.deliver(answered(call as LeafCall, { snapshot: "v2" }));
+  t.not(retry?.leafId, call?.leafId, "the other replica is called");
+  core.deliver(answered(retry as LeafCall, { snapshot: "v2" }));
   const [answer] = core.answersTo("q1");
   t.equal(answer?.outcome, "unknown");
   t.same(answer?.rows, []);
 });
 
-t.test("the core tells an empty answer that looks complete from a whole one", async (t) => {
+t.test("the core rejects an empty answer whose row count does not match", async (t) => {
   const core = harness(1);
-  const [call] = core.ask("q1", {});
-  const [retry] = core.give(answered(call as LeafCall, { rowsJson: "[]" }));
-  core.give(answered(retry as LeafCall));
+  const [call] = core.query("q1", {});
+  const [retry] = core.deliver(answered(call as LeafCall, { rowsJson: "[]" }));
+  core.deliver(answered(retry as LeafCall));
   t.equal(core.answersTo("q1")[0]?.outcome, "complete");
 });
 
-t.test("the core says not run only when every call was refused as not run", async (t) => {
-  const core = harness(1);
-  const [first] = core.ask("q1", {});
-  const [second] = core.give(refused(first as LeafCall));
-  core.give(refused(second as LeafCall));
-  t.match(core.answersTo("q1")[0], { outcome: "refused", notRun: true, retryAfterMs: 7 });
-  const [third] = core.ask("q2", {});
-  const [fourth] = core.give(failed(third as LeafCall));
-  core.give(refused(fourth as LeafCall));
-  t.match(core.answersTo("q2")[0], { outcome: "unknown", notRun: false });
-});
+t.test(
+  "the core reports a query as not run only if every call was refused as not run",
+  async (t) => {
+    const core = harness(1);
+    const [first] = core.query("q1", {});
+    const [second] = core.deliver(refused(first as LeafCall));
+    core.deliver(refused(second as LeafCall));
+    t.match(core.answersTo("q1")[0], { outcome: "refused", notRun: true, retryAfterMs: 7 });
+    const [third] = core.query("q2", {});
+    const [fourth] = core.deliver(failed(third as LeafCall));
+    core.deliver(refused(fourth as LeafCall));
+    t.match(core.answersTo("q2")[0], { outcome: "unknown", notRun: false });
+  },
+);
 
-t.test("the core neither hedges nor retries a query that may have run once", async (t) => {
+t.test("the core neither hedges nor retries a query that is not repeatable", async (t) => {
   const core = harness(1);
   core.send({ kind: "ticketWanted", requestId: "r" });
   const given = core.effects.find((effect) => effect.kind === "giveTicket");
   const ticket = given?.kind === "giveTicket" ? given.ticket : "";
   const once = { repeatable: false, ticket, sequence: 1 };
-  const [call] = core.ask("q1", once);
+  const [call] = core.query("q1", once);
   core.nowMs += 100;
   core.send({ kind: "hedge", id: call?.callId.split(".")[0] ?? "" });
-  t.same(core.ask("q2", once), [], "a repeat joins");
-  t.same(core.give(failed(call as LeafCall)), []);
+  t.same(core.query("q2", once), [], "a repeat joins");
+  t.same(core.deliver(failed(call as LeafCall)), []);
   t.match(core.answersTo("q1")[0], { outcome: "unknown" });
   t.match(core.answersTo("q2")[0], { outcome: "unknown" });
-  t.same(core.ask("q3", once), [], "a later repeat is told the same");
+  t.same(core.query("q3", once), [], "a later repeat gets the same answer");
   t.match(core.answersTo("q3")[0], { outcome: "unknown" });
 });
 
-t.test("the core answers a repeat by its own deadline while the first one runs", async (t) => {
-  const core = harness(1);
-  core.send({ kind: "ticketWanted", requestId: "r" });
-  const given = core.effects.find((effect) => effect.kind === "giveTicket");
-  const ticket = given?.kind === "giveTicket" ? given.ticket : "";
-  const once = { repeatable: false, ticket, sequence: 1 };
-  const [call] = core.ask("q1", { ...once, deadlineMs: 5_000 });
-  core.ask("q2", { ...once, deadlineMs: 100 });
-  core.nowMs += 92;
-  core.send({ kind: "queryDeadline", id: "q2" });
-  t.match(core.answersTo("q2")[0], { outcome: "unknown", notRun: false });
-  core.give(answered(call as LeafCall));
-  t.match(core.answersTo("q1")[0], { outcome: "complete" });
-  t.equal(core.answersTo("q2").length, 1);
-});
+t.test(
+  "the core answers a repeat by its own deadline while the first query is running",
+  async (t) => {
+    const core = harness(1);
+    core.send({ kind: "ticketWanted", requestId: "r" });
+    const given = core.effects.find((effect) => effect.kind === "giveTicket");
+    const ticket = given?.kind === "giveTicket" ? given.ticket : "";
+    const once = { repeatable: false, ticket, sequence: 1 };
+    const [call] = core.query("q1", { ...once, deadlineMs: 5_000 });
+    core.query("q2", { ...once, deadlineMs: 100 });
+    core.nowMs += 92;
+    core.send({ kind: "queryDeadline", id: "q2" });
+    t.match(core.answersTo("q2")[0], { outcome: "unknown", notRun: false });
+    core.deliver(answered(call as LeafCall));
+    t.match(core.answersTo("q1")[0], { outcome: "complete" });
+    t.equal(core.answersTo("q2").length, 1);
+  },
+);
 
-t.test("the core cannot tell of a ticket whose entry is gone", async (t) => {
+t.test("the core reports an unknown outcome for a ticket whose entry is unknown", async (t) => {
   const core = harness(1);
-  t.same(core.ask("q1", { repeatable: false, ticket: "gone~1", sequence: 1 }), []);
+  t.same(core.query("q1", { repeatable: false, ticket: "unknown~1", sequence: 1 }), []);
   t.match(core.answersTo("q1")[0], { outcome: "unknown", notRun: false });
 });
 
-t.test("the core shares identical calls within one scope of rights and never across", async (t) => {
+t.test("the core shares identical calls only within one scope of rights", async (t) => {
   const core = harness(1);
   const body = { mark: "same" };
-  const [call] = core.ask("q1", { body, rights: "market" });
-  t.same(core.ask("q2", { body, rights: "market" }), []);
-  t.equal(core.ask("q3", { body, rights: "other" }).length, 1);
-  core.give(answered(call as LeafCall));
+  const [call] = core.query("q1", { body, rights: "market" });
+  t.same(core.query("q2", { body, rights: "market" }), []);
+  t.equal(core.query("q3", { body, rights: "other" }).length, 1);
+  core.deliver(answered(call as LeafCall));
   t.equal(core.answersTo("q1").length, 1);
   t.equal(core.answersTo("q2").length, 1);
   t.equal(core.answersTo("q3").length, 0);
 });
 
-t.test("the core does not join an urgent query to a call that is less urgent", async (t) => {
+t.test("the core does not join an urgent query to a less urgent call", async (t) => {
   const core = harness(1);
   const body = { mark: "same" };
-  core.ask("q1", { body, rights: "market", priority: "low" });
-  t.equal(core.ask("q2", { body, rights: "market", priority: "urgent" }).length, 1);
+  core.query("q1", { body, rights: "market", priority: "low" });
+  t.equal(core.query("q2", { body, rights: "market", priority: "urgent" }).length, 1);
 });
 
-t.test("the core retries through the standby when a pool is lost", async (t) => {
+t.test("the core retries through the standby when a pool disconnects", async (t) => {
   const core = harness(1);
   const self = testMember("box-3/pool");
   const catalogHash = core.state.control.catalog.hash;
-  const heard = { members: [], revisions: [], confirmedAgoMs: 0, joining: false };
-  core.send({ kind: "exchangeArrived", requestId: 2, exchange: { self, catalogHash, ...heard } });
+  const emptyExchange = { members: [], revisions: [], confirmedAgoMs: 0, joining: false };
+  core.send({
+    kind: "exchangeArrived",
+    requestId: 2,
+    exchange: { self, catalogHash, ...emptyExchange },
+  });
   core.send({ kind: "poolOpened", poolId: "box-3/pool" });
-  core.ask("q1", {});
+  core.query("q1", {});
   const sent = core.effects.findLast((effect) => effect.kind === "sendCall");
-  const lost = sent?.kind === "sendCall" ? sent.poolId : "";
-  core.send({ kind: "poolLost", poolId: lost });
-  const again = core.effects.findLast((effect) => effect.kind === "sendCall");
-  t.ok(again?.kind === "sendCall" && again.poolId !== lost);
+  const failedPoolId = sent?.kind === "sendCall" ? sent.poolId : "";
+  core.send({ kind: "poolLost", poolId: failedPoolId });
+  const retried = core.effects.findLast((effect) => effect.kind === "sendCall");
+  t.ok(retried?.kind === "sendCall" && retried.poolId !== failedPoolId);
 });
 
-t.test("the core limits each caller, says when to come back, and forgets the quiet", async (t) => {
+t.test("the core limits each caller, returns a retry delay and removes idle callers", async (t) => {
   const config = testConfig(LEAFS, { policies: { limit: "2" } });
   const core = new CoreHarness({ config, shardMap: testShardMap(1, LEAFS) });
-  core.ask("q1", { caller: "ann" });
-  core.ask("q2", { caller: "ann" });
-  t.same(core.ask("q3", { caller: "ann" }), []);
+  core.query("q1", { caller: "ann" });
+  core.query("q2", { caller: "ann" });
+  t.same(core.query("q3", { caller: "ann" }), []);
   t.match(core.answersTo("q3")[0], { statusCode: 429, notRun: true, retryAfterMs: 500 });
-  t.equal(core.ask("q4", { caller: "ben" }).length, 1);
+  t.equal(core.query("q4", { caller: "ben" }).length, 1);
   core.nowMs += 20_000;
   core.send({ kind: "controlTick" });
   t.equal(core.state.callerBuckets.size, 0);
 });
 
-t.test("the core refuses at once as not run on a box that hears nobody", async (t) => {
+t.test("the core refuses queries as not run on an isolated box", async (t) => {
   const core = harness(1);
   core.nowMs += 60_000;
-  t.same(core.ask("q1", {}), []);
+  t.same(core.query("q1", {}), []);
   t.match(core.answersTo("q1")[0], { outcome: "refused", notRun: true, statusCode: 503 });
 });
 
+t.test("the core refuses a query that would miss its deadline, with a retry delay", async (t) => {
+  const core = harness(1);
+  const reports = [0, 1].map((index) => {
+    const leafId = `leaf-${index}`;
+    return { service: "wide", leafId, waitMs: 900, serviceTimeMs: 50, available: true };
+  });
+  core.send({ kind: "resultsArrived", poolId: "box-2/pool", results: [], reports });
+  t.same(core.query("q1", { deadlineMs: 300 }), []);
+  const [answer] = core.answersTo("q1");
+  t.match(answer, { outcome: "refused", notRun: true, statusCode: 503 });
+  t.ok((answer?.retryAfterMs ?? 0) > 0);
+});
+
 t.test(
-  "the core refuses at once, with when to come back, what would miss its deadline",
+  "the core answers early at the policy's coverage and lists the lacking shards",
   async (t) => {
-    const core = harness(1);
-    const reports = [0, 1].map((index) => {
-      const leafId = `leaf-${index}`;
-      return { service: "wide", leafId, waitMs: 900, serviceTimeMs: 50, available: true };
+    const config = testConfig(LEAFS, {
+      policies: { finish: "request.priority == 'urgent' ? 0.5 : 1.0" },
+    });
+    const core = new CoreHarness({ config, shardMap: testShardMap(2, LEAFS) });
+    const [first] = core.query("q1", { priority: "urgent" });
+    core.deliver(answered(first as LeafCall));
+    t.match(core.answersTo("q1")[0], {
+      outcome: "partial",
+      coverage: { included: ["s0"], lacking: [{ shard: "s1", reason: "early finish" }] },
     });
-    core.send({ kind: "resultsArrived", poolId: "box-2/pool", results: [], reports });
-    t.same(core.ask("q1", { deadlineMs: 300 }), []);
-    const [answer] = core.answersTo("q1");
-    t.match(answer, { outcome: "refused", notRun: true, statusCode: 503 });
-    t.ok((answer?.retryAfterMs ?? 0) > 0);
   },
 );
 
-t.test("the core answers early at the policy's coverage and says what it lacks", async (t) => {
-  const config = testConfig(LEAFS, {
-    policies: { finish: "request.priority == 'urgent' ? 0.5 : 1.0" },
-  });
-  const core = new CoreHarness({ config, shardMap: testShardMap(2, LEAFS) });
-  const [first] = core.ask("q1", { priority: "urgent" });
-  core.give(answered(first as LeafCall));
-  t.match(core.answersTo("q1")[0], {
-    outcome: "partial",
-    coverage: { included: ["s0"], lacking: [{ shard: "s1", reason: "early finish" }] },
-  });
-});
-
-t.test("the core starts over at the next snapshot when leafs have given one up", async (t) => {
-  const core = harness(2);
-  const calls = core.ask("q1", {});
-  const later = testShardMap(3, LEAFS);
-  const shardMap = {
-    ...later,
-    currentSnapshot: "v2",
-    snapshots: [{ snapshot: "v2", shards: later.snapshots[0]?.shards ?? [] }],
-  };
-  const object = { kind: "shardmap", name: "wide", revision: 2, deleted: false } as const;
-  core.send({ kind: "objectsFetched", objects: [{ ...object, history: [], value: shardMap }] });
-  const gone = (call: LeafCall): CallResult => {
-    return { kind: "refused", callId: call.callId, reason: "wrong snapshot", retryAfterMs: 0 };
-  };
-  core.give(answered(calls[0] as LeafCall));
-  const retries = core.give(gone(calls[1] as LeafCall));
-  const replanned = core.give(gone(retries[0] as LeafCall));
-  t.equal(replanned.length, 3);
-  t.ok(replanned.every((call) => call.snapshot === "v2"));
-  for (const call of replanned) {
-    core.give(answered(call));
-  }
-  t.match(core.answersTo("q1")[0], { outcome: "complete", snapshot: "v2" });
-});
+t.test(
+  "the core restarts a query at the current snapshot when leafs have dropped the old one",
+  async (t) => {
+    const core = harness(2);
+    const calls = core.query("q1", {});
+    const later = testShardMap(3, LEAFS);
+    const shardMap = {
+      ...later,
+      currentSnapshot: "v2",
+      snapshots: [{ snapshot: "v2", shards: later.snapshots[0]?.shards ?? [] }],
+    };
+    const object = { kind: "shardmap", name: "wide", revision: 2, deleted: false } as const;
+    core.send({ kind: "objectsFetched", objects: [{ ...object, history: [], value: shardMap }] });
+    const wrongSnapshot = (call: LeafCall): CallResult => {
+      return { kind: "refused", callId: call.callId, reason: "wrong snapshot", retryAfterMs: 0 };
+    };
+    core.deliver(answered(calls[0] as LeafCall));
+    const retries = core.deliver(wrongSnapshot(calls[1] as LeafCall));
+    const replanned = core.deliver(wrongSnapshot(retries[0] as LeafCall));
+    t.equal(replanned.length, 3);
+    t.ok(replanned.every((call) => call.snapshot === "v2"));
+    for (const call of replanned) {
+      core.deliver(answered(call));
+    }
+    t.match(core.answersTo("q1")[0], { outcome: "complete", snapshot: "v2" });
+  },
+);
--- a/entry/entry_messages.ts
+++ b/entry/entry_messages.ts
@@ -7,7 +7,7 @@
 import type { ClearTimerEffect, SetTimerEffect, TelemetryEffect } from "../core/mod.js";
 import type { Member, MissingReason, QueryAnswer, QueryRequest } from "../model/mod.js";
 
-/** A call to a leaf as it goes to the pool that owns it. */
+/** A call to a leaf, as sent to the pool that owns the leaf. */
 export interface LeafCall {
   readonly callId: string;
   readonly service: string;
@@ -17,12 +17,12 @@
   readonly remainingMs: number;
   readonly priorityRank: number;
   readonly repeatable: boolean;
-  /** Scope of rights that the leaf answers under; only calls of one scope are shared. */
+  /** Scope of rights of the call; only calls of the same scope are shared. */
   readonly rights: string;
   readonly bodyJson: string;
 }
 
-/** What became of a call. */
+/** Result of a call. */
 export type CallResult =
   | {
       readonly kind: "answered";
@@ -40,32 +40,32 @@
       readonly retryAfterMs: number;
     }
   | {
-      /** It may have run. */
+      /** Failed, and may have run. */
       readonly kind: "failed";
       readonly callId: string;
       readonly reason: MissingReason;
     };
 
-/** How a pool sees one of its leafs. */
+/** A pool's report on one of its leafs. */
 export interface LeafReport {
   readonly service: string;
   readonly leafId: string;
-  /** Time a new call would wait for a slot. */
+  /** Time that a new call would wait for a slot, in milliseconds. */
   readonly waitMs: number;
-  /** Mean time a call takes once it has a slot. */
+  /** Mean duration of a call once it has a slot, in milliseconds. */
   readonly serviceTimeMs: number;
-  /** Whether the leaf takes new calls. */
+  /** Whether the leaf accepts new calls. */
   readonly available: boolean;
 }
 
-/** Timers of the entry's own slices. */
+/** Timers of the entry's core. */
 export type EntryTimer =
   | ControlTimer
   | { readonly kind: "startNext" }
   | { readonly kind: "queryDeadline"; readonly id: string }
   | { readonly kind: "hedge"; readonly id: string };
 
-/** What happens to an entry. */
+/** Events of the entry's core. */
 export type EntryEvent =
   | ControlEvent
   | {
@@ -73,7 +73,7 @@
       readonly nowMs: number;
       readonly queryId: string;
       readonly request: QueryRequest;
-      /** Whether another entry passed the query on. */
+      /** Whether the query was forwarded by another entry. */
       readonly forwarded: boolean;
     }
   | { readonly kind: "callerGone"; readonly nowMs: number; readonly queryId: string }
@@ -98,14 +98,14 @@
       readonly tokens: number;
     }
   | {
-      /** A loan, or none: zero tokens when the lender had none or did not answer. */
+      /** Reply to a loan request; zero tokens if the lender had none or did not answer. */
       readonly kind: "loanArrived";
       readonly nowMs: number;
       readonly service: string;
       readonly tokens: number;
     };
 
-/** What an entry's core asks for. */
+/** Effects of the entry's core. */
 export type EntryEffect =
   | ControlEffect
   | TelemetryEffect
--- a/entry/entry_shell.ts
+++ b/entry/entry_shell.ts
@@ -1,5 +1,5 @@
 /**
- * The entry daemon's shell: callers and operators on one side, pools and peers on the other.
+ * Shell of the entry daemon: connects the core with callers, operators, pools and peers.
  *
  * @module
  */
@@ -27,7 +27,7 @@
 import { startTelemetry } from "../telemetry/mod.js";
 import { forwardQuery, isForwarded, type WaitingCaller } from "./_forwarding.js";
 import { unknownOutcome } from "./answers.js";
-import { advisedEntries, entryLogic } from "./entry_core.js";
+import { entryLogic, listedEntries } from "./entry_core.js";
 import type { EntryEffect, EntryEvent, EntryTimer } from "./entry_messages.js";
 import type { EntryState } from "./entry_state.js";
 import { type ApiHandlers, type ApiRequest, apiServer } from "./http_api.js";
@@ -44,26 +44,26 @@
   },
 } as const satisfies SettingSpecs;
 
-/** Settings of an entry daemon as read. */
+/** Parsed settings of an entry daemon. */
 export type EntrySettings = Settings<typeof ENTRY_SPECS>;
 
-/** Time that others have to hear of the end before the process is gone, in milliseconds. */
-const END_MS = 100;
+/** Time for final messages to be sent before the process exits, in milliseconds. */
+const SHUTDOWN_GRACE_MS = 100;
 
 /** A running entry daemon. */
 export interface EntryDaemon {
   readonly peerPort: number;
   readonly callerPort: number;
-  /** Begins a planned stop. */
+  /** Starts a planned stop. */
   stop(): void;
 }
 
 /**
  * Starts an entry daemon.
  *
- * @param settings - Its settings.
- * @param options - Called when the daemon has ended.
- * @returns The daemon, once it listens.
+ * @param settings - Settings of the daemon.
+ * @param options - Callback for the end of the daemon.
+ * @returns The daemon, once it is listening.
  */
 export async function startEntry(
   settings: EntrySettings,
@@ -104,7 +104,7 @@
       return object === undefined ? undefined : JSON.stringify(object);
     },
     report,
-    stop: () => setTimeout(end, END_MS),
+    stop: () => setTimeout(end, SHUTDOWN_GRACE_MS),
   });
 
   const peers = await listenForPeers(
@@ -129,7 +129,7 @@
     drainSelf: () => send({ kind: "stopRequested", nowMs: nowMs() }),
   });
 
-  async function takeQuery({ request, response, name }: ApiRequest): Promise<void> {
+  async function handleQuery({ request, response, name }: ApiRequest): Promise<void> {
     const body = await readJson(request, { maxBytes: MAX_BODY_BYTES });
     if (body.isErr()) {
       writeFault(response, body.error);
@@ -157,25 +157,25 @@
     });
   }
 
-  async function giveEntries({ response, query }: ApiRequest): Promise<void> {
+  async function handleEntries({ response, query }: ApiRequest): Promise<void> {
     const ticket =
       query.get("ticket") === "true"
         ? await tickets.open((requestId) =>
             send({ kind: "ticketWanted", nowMs: nowMs(), requestId: String(requestId) }),
           )
         : undefined;
-    const entries = advisedEntries(state()).map(({ box, dataCentre, address, callerPort }) => {
+    const entries = listedEntries(state()).map(({ box, dataCentre, address, callerPort }) => {
       return { box, dataCentre, address, port: callerPort };
     });
     const keepForMs = settings["advice-keep-ms"];
     const body = ticket === undefined ? { entries, keepForMs } : { entries, keepForMs, ticket };
-    writeJson(response, body, { statusCode: 200, headers: closing() });
+    writeJson(response, body, { statusCode: 200, headers: connectionHeaders() });
   }
 
   const handlers: ApiHandlers = {
     ...operators,
-    entries: (api) => void giveEntries(api),
-    query: (api) => void takeQuery(api),
+    entries: (api) => void handleEntries(api),
+    query: (api) => void handleQuery(api),
     health: ({ response }) => writeJson(response, { healthy: true }, { statusCode: 200 }),
     ready: ({ response }) => {
       const phase = lifecyclePhase(state().control.lifecycle);
@@ -188,18 +188,18 @@
   const links = new PoolLinks({ entryId: self.incarnation, send, nowMs });
   const timers = coreTimers<EntryTimer, EntryEvent>(send, nowMs);
 
-  /** Once the daemon leaves, callers are told to take other connections. */
-  function closing(): Readonly<Record<string, string>> {
+  /** Closes callers' connections once the daemon is leaving. */
+  function connectionHeaders(): Readonly<Record<string, string>> {
     const phase = lifecyclePhase(state().control.lifecycle);
     return phase === "ready" || phase === "starting" ? {} : { connection: "close" };
   }
 
-  function giveAnswer(queryId: string, answer: QueryAnswer): void {
+  function sendAnswer(queryId: string, answer: QueryAnswer): void {
     const caller = callers.get(queryId);
     callers.delete(queryId);
     if (caller !== undefined) {
       const { statusCode, ...body } = answer;
-      const headers = { ...retryAfter(answer), ...closing() };
+      const headers = { ...retryAfter(answer), ...connectionHeaders() };
       writeJson(caller.response, { ...body, entry: settings.box }, { statusCode, headers });
     }
   }
@@ -212,10 +212,10 @@
     try {
       const { statusCode, body } = await forwardQuery(caller, member);
       callers.delete(queryId);
-      writeJson(caller.response, body, { statusCode, headers: closing() });
+      writeJson(caller.response, body, { statusCode, headers: connectionHeaders() });
     } catch {
       const message = "Cannot tell whether the query ran: the entry that gave the ticket is silent";
-      giveAnswer(queryId, unknownOutcome(state(), nowMs(), message));
+      sendAnswer(queryId, unknownOutcome(state(), nowMs(), message));
     }
   }
 
@@ -230,7 +230,7 @@
       );
       lent = Number.isFinite(reply.tokens) ? Math.max(0, reply.tokens) : 0;
     } catch {
-      // What the lender took off is lost, so the sum never grows.
+      // The tokens that the lender deducted are discarded, so the total never grows.
     }
     send({ kind: "loanArrived", nowMs: nowMs(), service, tokens: lent });
   }
@@ -239,12 +239,12 @@
     ...control.handlers,
     setTimer: ({ timer, delayMs }) => timers.set(timer, delayMs),
     clearTimer: ({ timer }) => timers.clear(timer),
-    answer: ({ queryId, answer }) => giveAnswer(queryId, answer),
+    answer: ({ queryId, answer }) => sendAnswer(queryId, answer),
     giveTicket: ({ requestId, ticket }) => tickets.give(Number(requestId), ticket),
     forward: (effect) => void forward(effect),
     sendCall: ({ poolId, call }) => links.sendCall(poolId, call),
     cancelCall: ({ poolId, callId }) => links.cancelCall(poolId, callId),
-    openPools: ({ pools }) => links.want(pools),
+    openPools: ({ pools }) => links.setPools(pools),
     borrow: (effect) => void borrow(effect),
     replyBorrow: ({ requestId, tokens }) => loans.give(requestId, tokens),
   };
@@ -256,7 +256,7 @@
     telemetry.close();
     server.close(() => onEnd());
     server.closeIdleConnections();
-    setTimeout(onEnd, END_MS).unref();
+    setTimeout(onEnd, SHUTDOWN_GRACE_MS).unref();
   }
 
   core = runCore<EntryState, EntryEvent, EntryEffect>(
--- a/entry/entry_state.ts
+++ b/entry/entry_state.ts
@@ -15,27 +15,27 @@
 import type { EntryEffect } from "./entry_messages.js";
 import type { LeafView } from "./leaf_view.js";
 
-/** One try of a fetch at a leaf. */
+/** One attempt of a fetch at a leaf. */
 export interface Attempt {
   readonly callId: string;
   readonly leafId: string;
   readonly poolId: string;
   readonly sentAtMs: number;
   readonly purpose: "first" | "hedge" | "retry";
-  /** Whether its result is still awaited. */
+  /** Whether its result has not arrived yet. */
   readonly pending: boolean;
   /** Whether it is known not to have run. */
   readonly notRun: boolean;
 }
 
-/** One shard's part of one or more queries that ask the same of it. */
+/** Retrieval of one shard's rows for one or more identical queries. */
 export interface Fetch {
   readonly fetchId: string;
-  /** Service, snapshot, shard, rights and request; empty when it may not be shared. */
+  /** Service, snapshot, rights, request and shard; empty if the fetch must not be shared. */
   readonly shareKey: string;
-  /** Hash of the key. */
+  /** Hash of `shareKey`. */
   readonly shareHash: number;
-  /** Scope of rights that the leaf answers under. */
+  /** Scope of rights of the calls. */
   readonly rights: string;
   readonly service: string;
   readonly snapshot: string;
@@ -47,11 +47,11 @@
   readonly retriesLeft: number;
   readonly deadlineAtMs: number;
   readonly priorityRank: number;
-  /** Queries that wait for it. */
+  /** IDs of the queries that wait for it. */
   readonly waiters: ReadonlyArray<string>;
   readonly attempts: ReadonlyArray<Attempt>;
   readonly startedAtMs: number;
-  /** Why the last attempt brought nothing. */
+  /** Why the last attempt failed. */
   readonly lastReason: MissingReason;
   readonly lastRetryAfterMs: number;
 }
@@ -63,7 +63,7 @@
   readonly bodyJson: string;
   readonly revision: number;
   readonly arrivedAtMs: number;
-  /** When its shards were asked for; 0 while it waits. */
+  /** When its shards were requested; 0 while it is queued. */
   readonly startedAtMs: number;
   readonly deadlineAtMs: number;
   readonly finishCoverage: number;
@@ -71,51 +71,53 @@
   readonly placement: Placement;
   /** Snapshot that is being read. */
   readonly group: SnapshotGroup;
-  /** Snapshot read before, where the query had to start over. */
+  /** Snapshot read before the query was restarted, if it was. */
   readonly earlierGroup: SnapshotGroup | undefined;
-  /** Fetch of each shard that is not settled. */
+  /** ID of the fetch of each unsettled shard. */
   readonly fetchIds: ImmutableMap<string, string>;
   readonly retryAfterMs: number;
-  /** Whether a part of the query is known to have run or may have. */
+  /** Whether any part of the query has run or may have run. */
   readonly mayHaveRun: boolean;
-  readonly ticketPlace: TicketPosition | undefined;
-  /** All that an identical query must have in common; empty when it may not be joined. */
+  readonly ticketPosition: TicketPosition | undefined;
+  /** Key that identical queries have in common; empty if the query must not be joined. */
   readonly joinKey: string;
   readonly joinHash: number;
-  /** Identical queries, or repeats under the same ticket, that wait for the same answer. */
+  /**
+   * IDs of identical queries and of repeats under the same ticket that wait for the same answer.
+   */
   readonly joinedQueryIds: ReadonlyArray<string>;
 }
 
-/** The whole state of an entry. */
+/** State of the entry's core. */
 export interface EntryState {
   readonly control: ControlState;
   readonly queries: ImmutableMap<string, Query>;
   readonly fetches: ImmutableMap<string, Fetch>;
-  /** Fetches that may be shared, by the hash of their key; the key itself is compared too. */
+  /** IDs of shareable fetches by hash of their key; the key itself is compared too. */
   readonly fetchByHash: ImmutableMap<number, string>;
-  /** Running queries that identical ones may join, by the hash of their key. */
+  /** IDs of joinable queries by hash of their key. */
   readonly queryByHash: ImmutableMap<number, string>;
   readonly leafViews: ImmutableMap<string, LeafView>;
   readonly openPools: ImmutableSet<string>;
-  /** Pools that kept calls waiting without a word; cleared by the next word. */
-  readonly silentPools: ImmutableSet<string>;
-  /** When each pool last sent anything. */
-  readonly poolHeardAtMs: ImmutableMap<string, number>;
-  readonly extraLoad: ImmutableMap<string, ExtraLoadBudget>;
+  /** Pools that sent nothing while calls were pending; cleared by their next message. */
+  readonly unresponsivePools: ImmutableSet<string>;
+  /** Time of the last message from each pool. */
+  readonly poolLastContactAtMs: ImmutableMap<string, number>;
+  readonly extraLoadBudgets: ImmutableMap<string, ExtraLoadBudget>;
   readonly hedgeDelays: ImmutableMap<string, QuantileEstimate>;
   readonly serviceShares: ImmutableMap<string, LimitShare>;
   readonly callerBuckets: ImmutableMap<string, TokenBucket>;
   readonly inFlightByService: ImmutableMap<string, number>;
-  /** Fetches in flight by service. */
+  /** Number of fetches in flight by service. */
   readonly fetchesByService: ImmutableMap<string, number>;
-  /** Urgent queries in flight. */
+  /** Number of urgent queries in flight. */
   readonly urgentInFlight: number;
-  /** Queries that wait to be started, the next one first. */
+  /** IDs of the queries that wait to be started, the next one first. */
   readonly waitingIds: ReadonlyArray<string>;
   /** Mean time from start to answer by service, in milliseconds. */
-  readonly queryTimes: ImmutableMap<string, number>;
+  readonly meanQueryMs: ImmutableMap<string, number>;
   readonly tickets: TicketRegistry;
-  /** Counts fetches and calls; never reused within an incarnation. */
+  /** ID of the next fetch; never reused within an incarnation. */
   readonly nextId: number;
 }
 
@@ -123,7 +125,7 @@
 export type EntryStep = Step<EntryState, EntryEffect>;
 
 /**
- * Makes the state of an entry that has not started yet.
+ * Creates the state of an entry that has not started yet.
  *
  * @param options - Settings of its control slice.
  * @returns The state.
@@ -137,9 +139,9 @@
     queryByHash: ImmutableMap(),
     leafViews: ImmutableMap(),
     openPools: ImmutableSet(),
-    silentPools: ImmutableSet(),
-    poolHeardAtMs: ImmutableMap(),
-    extraLoad: ImmutableMap(),
+    unresponsivePools: ImmutableSet(),
+    poolLastContactAtMs: ImmutableMap(),
+    extraLoadBudgets: ImmutableMap(),
     hedgeDelays: ImmutableMap(),
     serviceShares: ImmutableMap(),
     callerBuckets: ImmutableMap(),
@@ -147,7 +149,7 @@
     fetchesByService: ImmutableMap(),
     urgentInFlight: 0,
     waitingIds: [],
-    queryTimes: ImmutableMap(),
+    meanQueryMs: ImmutableMap(),
     tickets: createTicketRegistry(options.self.incarnation),
     nextId: 1,
   };
--- a/entry/fetches.ts
+++ b/entry/fetches.ts
@@ -1,17 +1,17 @@
 /**
- * Fetches: getting one shard's rows for all queries that ask the same of it.
+ * Fetches: retrieve one shard's rows for all identical queries.
  *
  * @module
  */
 import { andThen, step } from "../core/mod.js";
 import type { ShardOutcome } from "../query/mod.js";
-import { send } from "./attempts.js";
+import { sendAttempt } from "./attempts.js";
 import { chooseTarget } from "./candidates.js";
 import type { EntryEffect } from "./entry_messages.js";
 import type { EntryState, EntryStep, Fetch } from "./entry_state.js";
 import { hedgeDelayMs } from "./hedging.js";
 
-/** A fetch that ended, for the queries that waited for it. */
+/** A fetch that has ended, with its outcome for the waiting queries. */
 export interface SettledFetch {
   readonly fetch: Fetch;
   readonly outcome: ShardOutcome;
@@ -23,13 +23,13 @@
 }
 
 /**
- * Marks a step in which no fetch has ended.
+ * Marks a step as having ended no fetch.
  *
- * @param made - The step.
- * @returns The same with no fetch settled.
+ * @param current - The step.
+ * @returns The same step, without a settled fetch.
  */
-export function going(made: EntryStep): FetchStep {
-  return { ...made, settled: undefined };
+export function unsettled(current: EntryStep): FetchStep {
+  return { ...current, settled: undefined };
 }
 
 /**
@@ -37,8 +37,8 @@
  *
  * @param state - The entry's state, without the fetch.
  * @param fetch - The fetch, without attempts.
- * @param nowMs - The present moment.
- * @returns The step; the fetch is settled at once where no leaf can be asked.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The step; the fetch settles immediately if no leaf can be called.
  */
 export function startFetch(state: EntryState, fetch: Fetch, nowMs: number): FetchStep {
   const target = chooseTarget(state, fetch, nowMs);
@@ -52,10 +52,10 @@
       fetch.shareKey === ""
         ? state.fetchByHash
         : state.fetchByHash.set(fetch.shareHash, fetch.fetchId),
-    fetchesByService: countFetch(state, fetch.service, 1),
+    fetchesByService: addToFetchCount(state, fetch.service, 1),
   };
-  return going(
-    andThen(send(shared, fetch, { ...target, purpose: "first", nowMs }), (sent) =>
+  return unsettled(
+    andThen(sendAttempt(shared, fetch, { ...target, purpose: "first", nowMs }), (sent) =>
       fetch.repeatable && fetch.leafIds.length > 1
         ? step<EntryState, EntryEffect>(sent, {
             kind: "setTimer",
@@ -67,16 +67,16 @@
   );
 }
 
-function countFetch(
+function addToFetchCount(
   { fetchesByService }: EntryState,
   service: string,
-  by: number,
+  delta: number,
 ): EntryState["fetchesByService"] {
-  return fetchesByService.set(service, (fetchesByService.get(service) ?? 0) + by);
+  return fetchesByService.set(service, (fetchesByService.get(service) ?? 0) + delta);
 }
 
 /**
- * Takes a fetch off: cancels its pending attempts and forgets it.
+ * Removes a fetch and cancels its pending attempts.
  *
  * @param state - The entry's state.
  * @param fetch - The fetch.
@@ -91,7 +91,7 @@
   const next: EntryState = {
     ...state,
     fetches: state.fetches.delete(fetch.fetchId),
-    fetchesByService: countFetch(state, fetch.service, -1),
+    fetchesByService: addToFetchCount(state, fetch.service, -1),
     fetchByHash: isShared ? state.fetchByHash.delete(fetch.shareHash) : state.fetchByHash,
   };
   const clear = { kind: "clearTimer", timer: { kind: "hedge", id: fetch.fetchId } } as const;
--- a/entry/finish_query.ts
+++ b/entry/finish_query.ts
@@ -1,5 +1,5 @@
 /**
- * The end of a query: its answer, the checks on it, and what is let go.
+ * Completion of a query: its answer, invariant checks and the release of its fetches.
  *
  * @module
  */
@@ -27,14 +27,14 @@
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
 import { removeFetch } from "./fetches.js";
 
-/** Most that one query's time counts for in the mean, as a multiple of it. */
+/** Upper bound of one query's duration in the mean, as a multiple of the mean. */
 const OUTLIER_FACTOR = 2;
 
 /**
- * Tells whether a query goes before all that are not urgent.
+ * Returns whether a query has the highest priority.
  *
  * @param query - The query.
- * @returns Whether its priority is the highest.
+ * @returns Whether its priority is `urgent`.
  */
 export function isUrgent({ request }: Pick<Query, "request">): boolean {
   return request.priority === "urgent";
@@ -46,11 +46,11 @@
 }
 
 /**
- * Answers a query with what it has: the snapshot with the largest coverage, and that one alone.
+ * Answers a query with the rows received so far, all from the snapshot with the largest coverage.
  *
  * @param state - The entry's state.
  * @param query - The query.
- * @param options - Why shards that are not settled are lacking, and the present moment.
+ * @param options - Reason to report for unsettled shards, and the current time.
  * @returns The step.
  */
 export function finishQuery(
@@ -65,8 +65,8 @@
     unsettledNotRun: (shard) => isNotRun(state, query.fetchIds.get(shard)),
   });
   const earlierRan = query.earlierGroup !== undefined;
-  const truthful = earlierRan && summary.notRun ? unknownSummary(summary) : summary;
-  const answer = summaryAnswer(state, truthful, {
+  const corrected = earlierRan && summary.notRun ? asUnknown(summary) : summary;
+  const answer = summaryAnswer(state, corrected, {
     snapshot: group.snapshot,
     revision: query.revision,
     retryAfterMs: query.retryAfterMs,
@@ -79,7 +79,7 @@
   });
   return andThen(released, (next) =>
     step<EntryState, EntryEffect>(
-      noteTime(rememberAnswer(next, query, answer), query, nowMs),
+      recordDuration(recordTicketAnswer(next, query, answer), query, nowMs),
       ...checks,
       ...answers,
       answerLog(query, answer, nowMs),
@@ -101,8 +101,8 @@
     : group;
 }
 
-/** A query whose earlier snapshot was asked has run, whatever became of the later one. */
-function unknownSummary(summary: GroupSummary): GroupSummary {
+/** A query that called leafs at an earlier snapshot may have run, whatever the later result. */
+function asUnknown(summary: GroupSummary): GroupSummary {
   return { ...summary, outcome: "unknown", notRun: false };
 }
 
@@ -116,12 +116,12 @@
   group: SnapshotGroup,
   { coverage, snapshot }: QueryAnswer,
 ): ReadonlyArray<TelemetryEffect> {
-  const named = new Set([...coverage.included, ...coverage.lacking.map((each) => each.shard)]);
-  const exact =
-    named.size === group.shards.length &&
+  const reported = new Set([...coverage.included, ...coverage.lacking.map((each) => each.shard)]);
+  const isExact =
+    reported.size === group.shards.length &&
     coverage.included.length + coverage.lacking.length === group.shards.length &&
     snapshot === group.snapshot;
-  return exact ? [] : invariantBroken("coverage", { queryId: query.queryId });
+  return isExact ? [] : invariantBroken("coverage", { queryId: query.queryId });
 }
 
 function checkNotRun(
@@ -131,21 +131,25 @@
   return notRun && mayHaveRun ? invariantBroken("not run", { queryId }) : [];
 }
 
-/** Learns how long queries take, for those that wait. */
-function noteTime(state: EntryState, { request, startedAtMs }: Query, nowMs: number): EntryState {
+/** Updates the mean query duration, which predicts the wait of queued queries. */
+function recordDuration(
+  state: EntryState,
+  { request, startedAtMs }: Query,
+  nowMs: number,
+): EntryState {
   const { service } = request;
-  const meanMs = updateClampedMean(state.queryTimes.get(service) ?? 0, nowMs - startedAtMs, {
+  const meanMs = updateClampedMean(state.meanQueryMs.get(service) ?? 0, nowMs - startedAtMs, {
     outlierFactor: OUTLIER_FACTOR,
   });
   return startedAtMs === 0
     ? state
-    : { ...state, queryTimes: state.queryTimes.set(service, meanMs) };
+    : { ...state, meanQueryMs: state.meanQueryMs.set(service, meanMs) };
 }
 
-function rememberAnswer(state: EntryState, query: Query, answer: QueryAnswer): EntryState {
-  return query.ticketPlace === undefined
+function recordTicketAnswer(state: EntryState, query: Query, answer: QueryAnswer): EntryState {
+  return query.ticketPosition === undefined
     ? state
-    : { ...state, tickets: recordFinished(state.tickets, query.ticketPlace, answer) };
+    : { ...state, tickets: recordFinished(state.tickets, query.ticketPosition, answer) };
 }
 
 function answerLog(query: Query, answer: QueryAnswer, nowMs: number): TelemetryEffect {
@@ -159,19 +163,19 @@
   });
 }
 
-/** Takes a query off and lets go of its fetches; one that nobody waits for is cancelled. */
+/** Removes a query and releases its fetches; fetches without other waiters are cancelled. */
 function releaseQuery(state: EntryState, query: Query): EntryStep {
   const { service } = query.request;
   const inFlight = (state.inFlightByService.get(service) ?? 1) - 1;
-  const isNamed = state.queryByHash.get(query.joinHash) === query.queryId;
-  const wasWaiting = query.startedAtMs === 0;
+  const isIndexed = state.queryByHash.get(query.joinHash) === query.queryId;
+  const wasQueued = query.startedAtMs === 0;
   const removed: EntryState = {
     ...state,
-    waitingIds: wasWaiting
+    waitingIds: wasQueued
       ? state.waitingIds.filter((queryId) => queryId !== query.queryId)
       : state.waitingIds,
     queries: state.queries.delete(query.queryId),
-    queryByHash: isNamed ? state.queryByHash.delete(query.joinHash) : state.queryByHash,
+    queryByHash: isIndexed ? state.queryByHash.delete(query.joinHash) : state.queryByHash,
     inFlightByService: state.inFlightByService.set(service, inFlight),
     urgentInFlight: state.urgentInFlight - (isUrgent(query) ? 1 : 0),
   };
@@ -198,39 +202,47 @@
 }
 
 /**
- * Answers a repeat whose own deadline has come while the first one still runs.
+ * Answers a joined query at its own deadline, while the query that it joined is still running.
  *
  * @param state - The entry's state.
- * @param queryId - The repeat.
- * @param nowMs - The present moment.
- * @returns The step; nothing where the repeat has its answer already.
+ * @param queryId - The joined query.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The step; it has no effects if the joined query has been answered.
  */
-export function leaveJoined(state: EntryState, queryId: string, nowMs: number): EntryStep {
+export function answerJoinedAtDeadline(
+  state: EntryState,
+  queryId: string,
+  nowMs: number,
+): EntryStep {
   const running = state.queries.find((query) => query.joinedQueryIds.includes(queryId));
   if (running === undefined) {
     return step(state);
   }
   const joinedQueryIds = running.joinedQueryIds.filter((each) => each !== queryId);
-  const left = { ...running, joinedQueryIds };
+  const remaining = { ...running, joinedQueryIds };
   const message = "Cannot tell whether the query ran: it is still running";
   return step<EntryState, EntryEffect>(
-    { ...state, queries: state.queries.set(running.queryId, left) },
+    { ...state, queries: state.queries.set(running.queryId, remaining) },
     { kind: "answer", queryId, answer: unknownOutcome(state, nowMs, message) },
   );
 }
 
 /**
- * Drops a query whose caller has gone. One that is not repeatable goes on, so that its outcome is
- * there when the caller asks again.
+ * Abandons a query whose caller has disconnected. A query with a ticket continues, so that its
+ * outcome is available when the caller repeats it.
  *
  * @param state - The entry's state.
  * @param queryId - The query.
  * @returns The step.
  */
-export function dropQuery(state: EntryState, queryId: string): EntryStep {
+export function abandonQuery(state: EntryState, queryId: string): EntryStep {
   const query = state.queries.get(queryId);
-  // Others may wait for the same answer; the one for the caller that has gone is dropped then.
-  if (query === undefined || query.ticketPlace !== undefined || query.joinedQueryIds.length > 0) {
+  // Joined queries wait for the same answer; the answer to the disconnected caller is dropped then.
+  if (
+    query === undefined ||
+    query.ticketPosition !== undefined ||
+    query.joinedQueryIds.length > 0
+  ) {
     return step(state);
   }
   return andThen(releaseQuery(state, query), (next) =>
--- a/entry/hedging.ts
+++ b/entry/hedging.ts
@@ -1,53 +1,56 @@
 /**
- * Second attempts: when a fetch has waited too long, and past pools that have fallen silent.
+ * Second attempts: hedges of slow fetches, and retries that bypass unresponsive pools.
  *
  * @module
  */
 import { andThen, logWarn, step } from "../core/mod.js";
 import { NO_ESTIMATE, updateQuantile } from "../latency/mod.js";
-import { MIN_ATTEMPT_MS, send, sendExtra } from "./attempts.js";
+import { MIN_ATTEMPT_MS, sendAttempt, sendExtraAttempt } from "./attempts.js";
 import { chooseTarget } from "./candidates.js";
 import type { EntryEffect } from "./entry_messages.js";
 import type { Attempt, EntryState, EntryStep, Fetch } from "./entry_state.js";
 
-/** Quantile of latency after which a second attempt is sent. */
+/** Quantile of latency after which a hedge is sent. */
 const HEDGE_QUANTILE = 0.95;
 
-/** Shortest wait before a second attempt, in milliseconds. */
-const MIN_HEDGE_MS = 2;
+/** Minimum delay before a hedge, in milliseconds. */
+const MIN_HEDGE_DELAY_MS = 2;
 
-/** Wait before a second attempt while nothing has been learnt, in milliseconds. */
-const FIRST_HEDGE_MS = 50;
+/** Delay before a hedge while there are too few observations, in milliseconds. */
+const INITIAL_HEDGE_DELAY_MS = 50;
 
-/** Observations before the learnt wait is used. */
-const LEARNT_AFTER = 20;
+/** Number of observations from which the estimated delay is used. */
+const MIN_OBSERVATIONS = 20;
 
 /**
- * Time without a word from a pool after which its calls are sent past it, in milliseconds. A pool
- * with calls in hand says a word more often than that, however long they run.
+ * Time without a message after which a pool counts as unresponsive, in milliseconds. A pool with
+ * pending calls sends messages more often than that, however long the calls run.
  */
-const SILENT_MS = 100;
+const UNRESPONSIVE_AFTER_MS = 100;
 
 /**
- * Tells how long to wait before a second attempt.
+ * Returns the delay before a hedge.
  *
  * @param state - The entry's state.
  * @param service - The service.
- * @returns Milliseconds.
+ * @returns Delay, in milliseconds.
  */
 export function hedgeDelayMs(state: EntryState, service: string): number {
   const { quantileMs, count } = state.hedgeDelays.get(service) ?? NO_ESTIMATE;
-  return count < LEARNT_AFTER ? FIRST_HEDGE_MS : Math.max(MIN_HEDGE_MS, quantileMs);
+  return count < MIN_OBSERVATIONS
+    ? INITIAL_HEDGE_DELAY_MS
+    : Math.max(MIN_HEDGE_DELAY_MS, quantileMs);
 }
 
 /**
- * Sends a second attempt to a fetch that has waited longer than most do, and one past its pool
- * where that has fallen silent; looks again after a while.
+ * Sends a hedge for a fetch, or retries it through another pool if its pool is unresponsive, and
+ * schedules the next check.
  *
  * @param state - The entry's state.
  * @param fetchId - The fetch.
- * @param nowMs - The present moment.
- * @returns The step; nothing is sent where the budget, the replicas or the time do not allow it.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The step; nothing is sent if the budget, the replicas or the remaining time do not
+ *   allow it.
  */
 export function hedgeFetch(state: EntryState, fetchId: string, nowMs: number): EntryStep {
   const fetch = state.fetches.get(fetchId);
@@ -56,50 +59,62 @@
   if (fetch === undefined || first === undefined || !fetch.repeatable) {
     return step(state);
   }
-  const heardAtMs = Math.max(state.poolHeardAtMs.get(first.poolId) ?? 0, first.sentAtMs);
-  const isSilent = nowMs - heardAtMs >= SILENT_MS;
-  const made = isSilent
-    ? passSilentPool(state, fetch, { poolId: first.poolId, nowMs })
+  const lastContactAtMs = Math.max(
+    state.poolLastContactAtMs.get(first.poolId) ?? 0,
+    first.sentAtMs,
+  );
+  const isUnresponsive = nowMs - lastContactAtMs >= UNRESPONSIVE_AFTER_MS;
+  const sent = isUnresponsive
+    ? bypassUnresponsivePool(state, fetch, { poolId: first.poolId, nowMs })
     : sendHedge(state, fetch, nowMs);
-  return andThen(made, (next) =>
+  return andThen(sent, (next) =>
     step<EntryState, EntryEffect>(next, {
       kind: "setTimer",
       timer: { kind: "hedge", id: fetchId },
-      delayMs: SILENT_MS,
+      delayMs: UNRESPONSIVE_AFTER_MS,
     }),
   );
 }
 
 function sendHedge(state: EntryState, fetch: Fetch, nowMs: number): EntryStep {
-  const isAlone = fetch.attempts.filter((attempt) => attempt.pending).length === 1;
-  const target = isAlone ? chooseTarget(state, fetch, nowMs) : undefined;
+  const isOnlyAttempt = fetch.attempts.filter((attempt) => attempt.pending).length === 1;
+  const target = isOnlyAttempt ? chooseTarget(state, fetch, nowMs) : undefined;
   const tried = fetch.attempts.some((attempt) => attempt.leafId === target?.leaf.leafId);
   return target === undefined || tried
     ? step(state)
-    : sendExtra(state, fetch, { ...target, purpose: "hedge", nowMs });
+    : sendExtraAttempt(state, fetch, { ...target, purpose: "hedge", nowMs });
 }
 
-/** Sends a fetch through another pool; the budget guards leafs, and these calls reached none. */
-function passSilentPool(
+/**
+ * Retries a fetch through another pool. The budget does not apply, as it protects leafs and the
+ * calls of an unresponsive pool reached none.
+ */
+function bypassUnresponsivePool(
   state: EntryState,
   fetch: Fetch,
   { poolId, nowMs }: { readonly poolId: string; readonly nowMs: number },
 ): EntryStep {
-  const noted = { ...state, silentPools: state.silentPools.add(poolId) };
-  const target = chooseTarget(noted, fetch, nowMs);
-  const isLate = fetch.deadlineAtMs - nowMs < MIN_ATTEMPT_MS;
-  const goesElsewhere = fetch.attempts.every((attempt) => {
+  const updated = { ...state, unresponsivePools: state.unresponsivePools.add(poolId) };
+  const target = chooseTarget(updated, fetch, nowMs);
+  const isTooLate = fetch.deadlineAtMs - nowMs < MIN_ATTEMPT_MS;
+  const usesOtherPool = fetch.attempts.every((attempt) => {
     return !attempt.pending || attempt.poolId !== target?.poolId;
   });
-  return target === undefined || isLate || !goesElsewhere
-    ? step(noted)
+  return target === undefined || isTooLate || !usesOtherPool
+    ? step(updated)
     : andThen(
-        step<EntryState, EntryEffect>(noted, logWarn("placement", `passed silent pool ${poolId}`)),
-        (next) => send(next, fetch, { ...target, purpose: "retry", nowMs }),
+        step<EntryState, EntryEffect>(
+          updated,
+          logWarn("placement", `bypassed unresponsive pool ${poolId}`),
+        ),
+        (next) => sendAttempt(next, fetch, { ...target, purpose: "retry", nowMs }),
       );
 }
 
-/** Learns when to hedge; a first attempt that a hedge overtook counts with the time it has taken. */
+/**
+ * Updates the estimated hedge delay; a first attempt overtaken by a hedge counts with its elapsed
+ * time.
+ */
 export function observeLatency(
   state: EntryState,
   fetch: Fetch,
--- a/entry/http_api.ts
+++ b/entry/http_api.ts
@@ -7,17 +7,17 @@
 import type { ObjectKind } from "../model/mod.js";
 import { httpFault, writeFault } from "./http_io.js";
 
-/** One request with what its path and query string say. */
+/** A request with its parsed path and query string. */
 export interface ApiRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** Name in the path; empty where the path has none. */
+  /** Name in the path; empty if the path has none. */
   readonly name: string;
   readonly kind: ObjectKind;
   readonly query: URLSearchParams;
 }
 
-/** What answers each kind of request. */
+/** Handlers of the API's requests. */
 export interface ApiHandlers {
   readonly entries: (api: ApiRequest) => void;
   readonly query: (api: ApiRequest) => void;
@@ -32,14 +32,14 @@
   readonly ready: (api: ApiRequest) => void;
 }
 
-/** Time a caller has to send a whole request, in milliseconds. */
-const REQUEST_MS = 10_000;
+/** Time limit for receiving an entire request, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 10_000;
 
-/** Time a caller has to send the headers, in milliseconds. */
-const HEADERS_MS = 5_000;
+/** Time limit for receiving the headers, in milliseconds. */
+const HEADERS_TIMEOUT_MS = 5_000;
 
-/** Time a connection is kept without use, in milliseconds. */
-const KEEP_ALIVE_MS = 65_000;
+/** Time for which an idle connection is kept open, in milliseconds. */
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
 const KINDS: Readonly<Record<string, ObjectKind>> = {
   services: "service",
@@ -72,7 +72,7 @@
  *
  * @param method - HTTP method.
  * @param path - Path without the query string.
- * @returns Handler, name and kind; nothing where there is none.
+ * @returns Handler, name and kind, or `undefined` if no route matches.
  */
 export function findRoute(method: string, path: string): Route | undefined {
   const parts = path.split("/").filter((part) => part !== "");
@@ -103,9 +103,9 @@
 }
 
 /**
- * Makes the HTTP server; it does not listen yet.
+ * Creates the HTTP server, which does not listen yet.
  *
- * @param handlers - What answers.
+ * @param handlers - Handlers of the requests.
  * @returns The server.
  */
 export function apiServer(handlers: ApiHandlers): Server {
@@ -122,9 +122,9 @@
     const { name, kind } = route;
     handlers[route.handler]({ request, response, name, kind, query: url.searchParams });
   });
-  server.requestTimeout = REQUEST_MS;
-  server.headersTimeout = HEADERS_MS;
-  server.keepAliveTimeout = KEEP_ALIVE_MS;
+  server.requestTimeout = REQUEST_TIMEOUT_MS;
+  server.headersTimeout = HEADERS_TIMEOUT_MS;
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   server.on("clientError", (_error, socket) => {
     if (socket.writable) {
       socket.end("HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n");
--- a/entry/http_io.ts
+++ b/entry/http_io.ts
@@ -1,22 +1,22 @@
 /**
- * Reading requests and writing answers over HTTP.
+ * Reads request bodies and writes responses over HTTP.
  *
  * @module
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { err, ok, type Result } from "neverthrow";
 
-/** Why a request is not taken. */
+/** Why a request is rejected. */
 export interface HttpFault {
   readonly statusCode: number;
   /** One sentence. */
   readonly message: string;
-  /** Field at fault; empty where it is none. */
+  /** Field at fault; empty if there is none. */
   readonly field: string;
 }
 
 /**
- * Makes a fault.
+ * Creates a fault.
  *
  * @param statusCode - HTTP status.
  * @param message - One sentence.
@@ -31,8 +31,8 @@
  * Reads a JSON body of bounded size.
  *
  * @param request - The request.
- * @param options - Most bytes taken.
- * @returns The data, or why it is not taken.
+ * @param options - Maximum size of the body, in bytes.
+ * @returns The parsed data, or why the body is rejected.
  */
 export async function readJson(
   request: IncomingMessage,
@@ -50,21 +50,21 @@
     }
     return ok(JSON.parse(Buffer.concat(chunks).toString("utf8")));
   } catch (error) {
-    const why = error instanceof SyntaxError ? "not JSON" : "cut short";
-    return err(httpFault(400, `Cannot read the body: ${why}`));
+    const cause = error instanceof SyntaxError ? "not JSON" : "cut short";
+    return err(httpFault(400, `Cannot read the body: ${cause}`));
   }
 }
 
-/** What is written besides the body. */
+/** Status code and headers of a response. */
 export interface WriteOptions {
   readonly statusCode: number;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
 /**
- * Writes a JSON answer; one whose caller has gone is dropped.
+ * Writes a JSON response, unless one was sent already or the caller has disconnected.
  *
- * @param response - Where to write.
+ * @param response - The response.
  * @param body - The body.
  * @param options - Status and headers.
  */
@@ -86,9 +86,9 @@
 }
 
 /**
- * Writes a fault.
+ * Writes a fault as a JSON response.
  *
- * @param response - Where to write.
+ * @param response - The response.
  * @param fault - The fault.
  */
 export function writeFault(
--- a/entry/twins.ts
+++ b/entry/identical_queries.ts
@@ -6,11 +6,11 @@
 import { fnv1a } from "../hashing/mod.js";
 import type { EntryState, Query } from "./entry_state.js";
 
-/** Time by which the deadlines of two queries with one answer may differ, in milliseconds. */
-const JOIN_DEADLINE_MS = 100;
+/** Maximum difference between the deadlines of queries that share an answer, in milliseconds. */
+const MAX_DEADLINE_DIFFERENCE_MS = 100;
 
-/** Names a query so that identical ones find it; all that shapes its answer is in the name. */
-export function nameQuery(query: Query): Query {
+/** Sets a query's join key, which contains everything that determines the answer. */
+export function withJoinKey(query: Query): Query {
   const joinKey = joinKeyOf(query);
   return { ...query, joinKey, joinHash: fnv1a(joinKey) };
 }
@@ -27,13 +27,13 @@
     : "";
 }
 
-/** Finds a running query that this one can share the answer of. */
-export function findTwin(state: EntryState, query: Query): string | undefined {
+/** Finds the ID of a running query whose answer this query can share. */
+export function findIdenticalQuery(state: EntryState, query: Query): string | undefined {
   const joinKey = joinKeyOf(query);
   const running = state.queries.get(state.queryByHash.get(fnv1a(joinKey)) ?? "");
   if (joinKey === "" || running?.joinKey !== joinKey) {
     return undefined;
   }
   const laterByMs = query.deadlineAtMs - running.deadlineAtMs;
-  return laterByMs >= 0 && laterByMs <= JOIN_DEADLINE_MS ? running.queryId : undefined;
+  return laterByMs >= 0 && laterByMs <= MAX_DEADLINE_DIFFERENCE_MS ? running.queryId : undefined;
 }
--- a/entry/leaf_view.ts
+++ b/entry/leaf_view.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry knows of a leaf, and the choice of a leaf by it: own observations first, what the
- * pool reported discounted by its age.
+ * An entry's view of a leaf, and the choice of leafs by it: the entry's own observations, and the
+ * pool's reports discounted by their age.
  *
  * @module
  */
@@ -9,21 +9,21 @@
 import type { Placement } from "../policy/mod.js";
 import type { LeafReport } from "./entry_messages.js";
 
-/** What is known of one leaf. */
+/** An entry's view of one leaf. */
 export interface LeafView {
   readonly reportedWaitMs: number;
   readonly reportedAtMs: number;
   readonly serviceTimeMs: number;
   readonly available: boolean;
-  /** Calls sent since the pool last reported. */
+  /** Number of calls sent since the pool's last report. */
   readonly sentSinceReport: number;
-  /** Calls in a row that failed. */
+  /** Number of consecutive failed calls. */
   readonly failures: number;
-  /** Until when the leaf is left out for its failures. */
+  /** Time until which the leaf is ejected for its failures. */
   readonly ejectedUntilMs: number;
 }
 
-/** A leaf nothing is known of. */
+/** View of a leaf without reports or observations. */
 export const UNKNOWN_LEAF: LeafView = {
   reportedWaitMs: 0,
   reportedAtMs: 0,
@@ -34,36 +34,36 @@
   ejectedUntilMs: 0,
 };
 
-/** Failures in a row that a leaf is left out for. */
+/** Number of consecutive failures after which a leaf is ejected. */
 const EJECT_AFTER_FAILURES = 3;
 
-/** Time a leaf is left out for, in milliseconds. */
+/** Time for which a leaf is ejected, in milliseconds. */
 const EJECT_MS = 2_000;
 
-/** Time after which what a pool reported tells nothing any more, in milliseconds. */
+/** Time after which a pool's report is ignored, in milliseconds. */
 const REPORT_VALID_MS = 2_000;
 
 /**
- * Time after which a report that a leaf takes no calls is doubted, in milliseconds. Pools repeat it
- * each second; where none does, the pool that said so is gone or owns the leaf no more.
+ * Time after which a report that a leaf is unavailable is ignored, in milliseconds. Pools repeat
+ * such a report each second; without a repeat, the pool has terminated or no longer owns the leaf.
  */
 const UNAVAILABLE_VALID_MS = 3_000;
 
-/** Time that a leaf in another data centre counts as slower, in milliseconds. */
-const FAR_PENALTY_MS = 8;
+/** Time added to the score of a leaf in another data centre, in milliseconds. */
+const REMOTE_PENALTY_MS = 8;
 
-/** Share of a call's time that the preferred leaf of a request is let ahead by. */
+/** Maximum affinity penalty in a leaf's score, as a share of the leaf's service time. */
 const AFFINITY_SHARE = 0.25;
 
 /**
- * Takes in a pool's report.
+ * Applies a pool's report.
  *
- * @param view - What was known.
- * @param report - What the pool says.
- * @param nowMs - The present moment.
- * @returns What is known now.
+ * @param view - View of the leaf.
+ * @param report - The report.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The updated view.
  */
-export function takeReport(view: LeafView, report: LeafReport, nowMs: number): LeafView {
+export function applyReport(view: LeafView, report: LeafReport, nowMs: number): LeafView {
   return {
     ...view,
     reportedWaitMs: report.waitMs,
@@ -75,25 +75,25 @@
 }
 
 /**
- * Tells whether a leaf may be sent calls.
+ * Returns whether calls may be sent to a leaf.
  *
- * @param view - What is known.
- * @param nowMs - The present moment.
- * @returns Whether no pool has lately said otherwise.
+ * @param view - View of the leaf.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns Whether no recent report says that it is unavailable.
  */
-export function takesCalls(view: LeafView, nowMs: number): boolean {
+export function acceptsCalls(view: LeafView, nowMs: number): boolean {
   return view.available || nowMs - view.reportedAtMs > UNAVAILABLE_VALID_MS;
 }
 
 /**
- * Notes how a call ended.
+ * Records the outcome of a call.
  *
- * @param view - What was known.
- * @param failed - Whether the leaf failed the call.
- * @param options - The present moment, and whether one more leaf may be left out.
- * @returns What is known now.
+ * @param view - View of the leaf.
+ * @param failed - Whether the call failed.
+ * @param options - The current time, and whether another leaf may be ejected.
+ * @returns The updated view.
  */
-export function noteCall(
+export function recordCallOutcome(
   view: LeafView,
   failed: boolean,
   { nowMs, mayEject }: { readonly nowMs: number; readonly mayEject: boolean },
@@ -108,12 +108,13 @@
 }
 
 /**
- * Predicts how long a call to a leaf would take from now.
+ * Predicts the duration of a call to a leaf, including its wait.
  *
- * @param view - What is known of the leaf.
+ * @param view - View of the leaf.
  * @param leaf - The leaf.
- * @param options - The present moment, and how many entries send to the leaf as this one does.
- * @returns Milliseconds; 0 where nothing is known.
+ * @param options - The current time, and the number of entries, each assumed to send as many
+ *   calls as this one.
+ * @returns Duration, in milliseconds; 0 if the leaf is unknown.
  */
 export function predictMs(
   view: LeafView,
@@ -126,16 +127,16 @@
   return waitMs + view.serviceTimeMs * (1 + sent / leaf.slots);
 }
 
-/** A leaf that may be chosen. */
+/** A leaf that a call may be sent to. */
 export interface Candidate {
   readonly leaf: Leaf;
   readonly view: LeafView;
   readonly predictedMs: number;
 }
 
-/** What placement goes by besides the candidates. */
+/** Properties of the request and the entry that affect placement. */
 export interface PlacementContext {
-  /** Identical requests carry the same key and so prefer the same leaf. */
+  /** Key by which identical requests prefer the same leaf. */
   readonly affinityKey: string;
   readonly dataCentre: string;
 }
@@ -147,7 +148,7 @@
   nearest: (candidate, context) =>
     candidate.predictedMs +
     affinityMs(candidate, context) +
-    (candidate.leaf.dataCentre === context.dataCentre ? 0 : FAR_PENALTY_MS),
+    (candidate.leaf.dataCentre === context.dataCentre ? 0 : REMOTE_PENALTY_MS),
   spread: ({ leaf }, { affinityKey }) => fnv1a(`${leaf.leafId} ${affinityKey}`),
 };
 
@@ -157,12 +158,12 @@
 }
 
 /**
- * Chooses among leafs.
+ * Chooses the leaf for a call.
  *
- * @param candidates - Leafs that may be asked.
- * @param placement - Way to place, as the policy says.
- * @param context - What it goes by besides.
- * @returns The best candidate, or nothing where there is none.
+ * @param candidates - Leafs that may be called.
+ * @param placement - Placement strategy given by the policy.
+ * @param context - Properties of the request and the entry.
+ * @returns The best candidate, or `undefined` if there is none.
  */
 export function chooseLeaf(
   candidates: ReadonlyArray<Candidate>,
--- a/entry/mod.ts
+++ b/entry/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The entry daemon: faces callers and operators; admits, plans, merges and answers.
+ * The entry daemon: serves callers and operators; admits, plans and answers queries.
  *
  * @module
  */
--- a/entry/operator_api.ts
+++ b/entry/operator_api.ts
@@ -1,5 +1,5 @@
 /**
- * What operators ask of an entry: objects, policies and status.
+ * HTTP handlers for operators: objects, policies, status and drain.
  *
  * @module
  */
@@ -17,10 +17,10 @@
 import type { ApiHandlers, ApiRequest } from "./http_api.js";
 import { type HttpFault, httpFault, readJson, writeFault, writeJson } from "./http_io.js";
 
-/** Waits between tries of a submission, in milliseconds. */
-const SUBMIT_PAUSE_MS = 300;
+/** Delay between attempts of a submission, in milliseconds. */
+const SUBMIT_RETRY_DELAY_MS = 300;
 
-/** What the operators' side needs. */
+/** Dependencies of the operators' handlers. */
 export interface OperatorApiOptions {
   readonly platform: PlatformPort;
   readonly control: ControlShell;
@@ -42,9 +42,9 @@
 >;
 
 /**
- * Makes the handlers of the operators' side.
+ * Creates the handlers for operators.
  *
- * @param options - What they need.
+ * @param options - Dependencies of the handlers.
  * @returns The handlers.
  */
 export function operatorApi(options: OperatorApiOptions): OperatorHandlers {
@@ -80,8 +80,8 @@
   const value = body.andThen((data) =>
     deleted ? ok(null) : checkValue(state(), kind, { name, data }),
   );
-  const held = state().catalog.objects.get(objectKey(kind, name));
-  const base = baseRevision(query.get("base"), held);
+  const stored = state().catalog.objects.get(objectKey(kind, name));
+  const base = baseRevision(query.get("base"), stored);
   if (value.isErr() || base.isErr()) {
     const faults = [value, base].flatMap((each) => (each.isErr() ? [each.error] : []));
     writeFault(response, faults[0] ?? httpFault(400, "Cannot accept the request"));
@@ -100,8 +100,8 @@
       submittedAtEpochMs: Date.now(),
     },
     {
-      knownRevision: held?.revision ?? 0,
-      pause: () => new Promise((resolve) => setTimeout(resolve, SUBMIT_PAUSE_MS)),
+      knownRevision: stored?.revision ?? 0,
+      pause: () => new Promise((resolve) => setTimeout(resolve, SUBMIT_RETRY_DELAY_MS)),
     },
   );
   if (outcome.kind === "accepted") {
@@ -113,10 +113,10 @@
 
 function baseRevision(
   text: string | null,
-  held: CatalogObject | undefined,
+  stored: CatalogObject | undefined,
 ): Result<number, HttpFault> {
   if (text === null) {
-    return ok(held?.revision ?? 0);
+    return ok(stored?.revision ?? 0);
   }
   const base = Number(text);
   return Number.isInteger(base) && base >= 0
@@ -137,16 +137,16 @@
     }
     case "conflict": {
       const winner = outcome.winner;
-      const by = winner?.history[0];
+      const change = winner?.history[0];
       const message =
         winner === undefined
           ? "Cannot accept the change: the object is not there"
-          : `Cannot accept the change: ${by?.author ?? "another operator"} won with revision ${winner.revision}`;
+          : `Cannot accept the change: ${change?.author ?? "another operator"} won with revision ${winner.revision}`;
       return {
         statusCode: 409,
         outcome: "conflict",
         revision: winner?.revision ?? 0,
-        winner: by,
+        winner: change,
         message,
       };
     }
@@ -199,7 +199,7 @@
 }
 
 async function status({ response }: ApiRequest, options: OperatorApiOptions): Promise<void> {
-  const members = othersOf(options.state());
+  const members = otherMembers(options.state());
   const reports = await Promise.all(
     members.map(async (member) => {
       try {
@@ -216,17 +216,17 @@
   writeJson(response, { daemons: [own, ...reports] }, { statusCode: 200 });
 }
 
-function othersOf(state: ControlState): ReadonlyArray<Member> {
+function otherMembers(state: ControlState): ReadonlyArray<Member> {
   return [...state.membership.records.values()]
     .map((record) => record.member)
     .filter((member) => member.state !== "dead");
 }
 
-/** Begins the planned stop of all daemons of a box. */
+/** Starts the planned stop of all daemons of a box. */
 async function drain({ response, name }: ApiRequest, options: OperatorApiOptions): Promise<void> {
   const { self } = options.state().membership;
-  const others = othersOf(options.state()).filter((member) => member.box === name);
-  const told = await Promise.all(
+  const others = otherMembers(options.state()).filter((member) => member.box === name);
+  const notified = await Promise.all(
     others.map(async (member) => {
       try {
         await options.control.client(member).rpc.drain({}, { timeoutMs: PEER_ANSWER_MS });
@@ -239,7 +239,7 @@
   if (self.box === name) {
     options.drainSelf();
   }
-  const draining = [...told.flat(), ...(self.box === name ? [self.memberId] : [])];
+  const draining = [...notified.flat(), ...(self.box === name ? [self.memberId] : [])];
   if (draining.length === 0) {
     writeFault(response, httpFault(404, `Cannot find box "${name}" among the live ones`));
     return;
--- a/entry/pool_links.ts
+++ b/entry/pool_links.ts
@@ -1,5 +1,6 @@
 /**
- * The entry's streams to pools: what one turn of the loop yields for a pool goes as one message.
+ * The entry's streams to pools. Calls made in one turn of the event loop are sent as one message
+ * per pool.
  *
  * @module
  */
@@ -16,8 +17,8 @@
 } from "../peer/mod.js";
 import type { CallResult, EntryEvent, LeafCall } from "./entry_messages.js";
 
-/** Time until a stream that broke is tried again, in milliseconds. */
-const RETRY_MS = 250;
+/** Delay before a closed stream is reopened, in milliseconds. */
+const REOPEN_DELAY_MS = 250;
 
 interface Link {
   readonly member: Member;
@@ -30,9 +31,9 @@
   closed: boolean;
 }
 
-/** What the links need. */
+/** Dependencies of {@link PoolLinks}. */
 export interface PoolLinksOptions {
-  /** Incarnation of the entry; names its streams. */
+  /** Incarnation of the entry, which identifies its streams. */
   readonly entryId: string;
   readonly send: (event: EntryEvent) => void;
   readonly nowMs: () => number;
@@ -42,10 +43,10 @@
 export class PoolLinks {
   readonly #options: PoolLinksOptions;
   readonly #links = new Map<string, Link>();
-  #wanted: ReadonlyMap<string, Member> = new Map();
+  #pools: ReadonlyMap<string, Member> = new Map();
 
   /**
-   * @param options - Who the entry is and where results go.
+   * @param options - Incarnation of the entry, event receiver and clock.
    */
   constructor(options: PoolLinksOptions) {
     this.#options = options;
@@ -56,10 +57,10 @@
    *
    * @param pools - Pools in use.
    */
-  want(pools: ReadonlyArray<Member>): void {
-    this.#wanted = new Map(pools.map((pool) => [pool.memberId, pool]));
+  setPools(pools: ReadonlyArray<Member>): void {
+    this.#pools = new Map(pools.map((pool) => [pool.memberId, pool]));
     for (const link of [...this.#links.values()]) {
-      if (this.#wanted.get(link.member.memberId)?.incarnation !== link.member.incarnation) {
+      if (this.#pools.get(link.member.memberId)?.incarnation !== link.member.incarnation) {
         this.#close(link);
       }
     }
@@ -83,7 +84,7 @@
         reason: "pool lost",
         retryAfterMs: 0,
       } as const;
-      setImmediate(() => this.#tell(poolId, result));
+      setImmediate(() => this.#reportResult(poolId, result));
       return;
     }
     link.calls.push(call);
@@ -91,9 +92,9 @@
   }
 
   /**
-   * Takes a call back; one not sent yet stays with its pool, which drops it.
+   * Cancels a call. A call that has not been sent yet is still sent, and the pool drops it.
    *
-   * @param poolId - Pool that has the call.
+   * @param poolId - Pool that the call is sent to.
    * @param callId - The call.
    */
   cancelCall(poolId: string, callId: string): void {
@@ -104,15 +105,15 @@
     }
   }
 
-  /** Ends all streams. */
+  /** Closes all streams. */
   close(): void {
-    this.#wanted = new Map();
+    this.#pools = new Map();
     for (const link of [...this.#links.values()]) {
       this.#close(link);
     }
   }
 
-  #tell(poolId: string, result: CallResult): void {
+  #reportResult(poolId: string, result: CallResult): void {
     const { send, nowMs } = this.#options;
     send({ kind: "resultsArrived", nowMs: nowMs(), poolId, results: [result], reports: [] });
   }
@@ -158,15 +159,15 @@
         });
       }
     } catch {
-      // The core hears of the loss below.
+      // Closing the link below reports the disconnection to the core.
     }
     this.#close(link);
     setTimeout(() => {
-      const wanted = this.#wanted.get(poolId);
-      if (wanted !== undefined) {
-        this.#open(wanted);
+      const pool = this.#pools.get(poolId);
+      if (pool !== undefined) {
+        this.#open(pool);
       }
-    }, RETRY_MS);
+    }, REOPEN_DELAY_MS);
   }
 
   #close(link: Link): void {
--- a/entry/queries.ts
+++ b/entry/queries.ts
@@ -10,17 +10,17 @@
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
 import type { SettledFetch } from "./fetches.js";
 import { finishQuery, isUrgent } from "./finish_query.js";
-import { askShards } from "./shard_asking.js";
+import { requestShards } from "./shard_requests.js";
 
-/** Least time left that starting over at another snapshot is worth, in milliseconds. */
+/** Minimum remaining time for a restart at another snapshot, in milliseconds. */
 const MIN_REPLAN_MS = 20;
 
 /**
- * Takes a query in and sets its deadline; its shards are not asked for yet.
+ * Adds a query and sets its deadline; its shards are not requested yet.
  *
  * @param state - The entry's state.
  * @param query - The query, with its snapshot pinned.
- * @param nowMs - The present moment.
+ * @param nowMs - Current time, in milliseconds.
  * @returns The step.
  */
 export function addQuery(state: EntryState, query: Query, nowMs: number): EntryStep {
@@ -44,11 +44,11 @@
 }
 
 /**
- * Starts a query that was taken in: asks for each shard of its snapshot.
+ * Starts a query that was added: requests each shard of its snapshot.
  *
  * @param state - The entry's state.
  * @param queryId - The query.
- * @param nowMs - The present moment.
+ * @param nowMs - Current time, in milliseconds.
  * @returns The step.
  */
 export function startQuery(state: EntryState, queryId: string, nowMs: number): EntryStep {
@@ -56,20 +56,20 @@
   if (query === undefined) {
     return step(state);
   }
-  return fetchShards(state, { ...query, startedAtMs: nowMs }, nowMs);
+  return startFetches(state, { ...query, startedAtMs: nowMs }, nowMs);
 }
 
-function fetchShards(state: EntryState, query: Query, nowMs: number): EntryStep {
-  const { made, settled } = askShards(state, query, nowMs);
-  return andThen(made, (next) => settleAll(next, settled, nowMs));
+function startFetches(state: EntryState, query: Query, nowMs: number): EntryStep {
+  const { result, settled } = requestShards(state, query, nowMs);
+  return andThen(result, (next) => settleAll(next, settled, nowMs));
 }
 
 /**
- * Tells the queries that waited for fetches what became of them.
+ * Applies the outcomes of ended fetches to the queries that wait for them.
  *
  * @param state - The entry's state.
  * @param settled - Fetches that ended.
- * @param nowMs - The present moment.
+ * @param nowMs - Current time, in milliseconds.
  * @returns The step.
  */
 export function settleAll(
@@ -77,7 +77,7 @@
   settled: ReadonlyArray<SettledFetch>,
   nowMs: number,
 ): EntryStep {
-  const touched = new Set<string>();
+  const updatedIds = new Set<string>();
   let next = state;
   for (const { fetch, outcome } of settled) {
     for (const queryId of fetch.waiters) {
@@ -87,14 +87,14 @@
         const retryAfterMs = Math.max(query.retryAfterMs, fetch.lastRetryAfterMs);
         const fetchIds = query.fetchIds.delete(fetch.shard);
         const mayHaveRun = query.mayHaveRun || outcome.kind === "included" || !outcome.notRun;
-        const told = { ...query, group, retryAfterMs, fetchIds, mayHaveRun };
-        next = { ...next, queries: next.queries.set(queryId, told) };
-        touched.add(queryId);
+        const updated = { ...query, group, retryAfterMs, fetchIds, mayHaveRun };
+        next = { ...next, queries: next.queries.set(queryId, updated) };
+        updatedIds.add(queryId);
       }
     }
   }
-  return forEachStep(step<EntryState, EntryEffect>(next), touched, (reached, queryId) =>
-    finishIfDone(reached, queryId, nowMs),
+  return forEachStep(step<EntryState, EntryEffect>(next), updatedIds, (current, queryId) =>
+    finishIfDone(current, queryId, nowMs),
   );
 }
 
@@ -113,17 +113,20 @@
     : step(state);
 }
 
-/** A snapshot that leafs have given up is read again at the one that followed it, once. */
+/**
+ * Returns whether to restart a query at the current snapshot: at most once, and only if leafs have
+ * dropped the snapshot that it reads.
+ */
 function shouldReplan(state: EntryState, query: Query, nowMs: number): boolean {
   const current = state.control.catalog.shardMaps.get(query.request.service)?.currentSnapshot;
-  const gone = [...query.group.settled.values()].some((outcome) => {
+  const isUnavailable = [...query.group.settled.values()].some((outcome) => {
     return (
       outcome.kind === "lacking" &&
       (outcome.reason === "wrong snapshot" || outcome.reason === "not held")
     );
   });
   return (
-    gone &&
+    isUnavailable &&
     query.request.repeatable &&
     query.earlierGroup === undefined &&
     current !== undefined &&
@@ -144,10 +147,10 @@
     earlierGroup: query.group,
     fetchIds: ImmutableMap(),
   };
-  const log = logInfo("query", `starts ${query.queryId} over at ${spec.snapshot}`, {
+  const log = logInfo("query", `restarts ${query.queryId} at ${spec.snapshot}`, {
     earlier: query.group.snapshot,
   });
-  return andThen(step<EntryState, EntryEffect>(state, log), (going) =>
-    fetchShards(going, replanned, nowMs),
+  return andThen(step<EntryState, EntryEffect>(state, log), (logged) =>
+    startFetches(logged, replanned, nowMs),
   );
 }
--- a/entry/service_limit.ts
+++ b/entry/service_limit.ts
@@ -1,5 +1,5 @@
 /**
- * A service's limit as one entry keeps it: its own part, and what it borrows and lends.
+ * One entry's share of a service's limit, and the tokens that it borrows and lends.
  *
  * @module
  */
@@ -19,50 +19,53 @@
 import type { EntryEffect, EntryEvent } from "./entry_messages.js";
 import type { EntryState, EntryStep } from "./entry_state.js";
 
-/** Shortest wait that a refusal names, in milliseconds. */
-const MIN_RETRY_MS = 20;
+/** Minimum retry delay of a refusal, in milliseconds. */
+const MIN_RETRY_DELAY_MS = 20;
 
-/** What came of asking for a token. */
-export interface TokenTaken {
+/** Result of taking a token. */
+export interface TokenResult {
   readonly state: EntryState;
-  /** Time until a token may be there; 0 when one was taken. */
+  /** Time until a token may be available, in milliseconds; 0 if one was taken. */
   readonly waitMs: number;
 }
 
 /**
- * Takes a token of the service's limit.
+ * Takes a token from this entry's share of the service's limit.
  *
  * @param state - The entry's state.
  * @param service - The service.
- * @param nowMs - The present moment.
- * @returns Whether to wait, and the state after that.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns Time until a token may be available, and the updated state.
  */
 export function takeServiceToken(
   state: EntryState,
   service: ServiceEntry,
   nowMs: number,
-): TokenTaken {
+): TokenResult {
   const { limits } = service.config;
   if (limits.requestsPerSecond <= 0) {
     return { state, waitMs: 0 };
   }
   const rate = rateOf(state, service, nowMs);
   const { admitted, share } = admit(shareOf(state, service, nowMs), rate, { nowMs });
-  const waitMs = admitted ? 0 : Math.max(MIN_RETRY_MS, msUntilToken(share.bucket, rate));
+  const waitMs = admitted ? 0 : Math.max(MIN_RETRY_DELAY_MS, msUntilToken(share.bucket, rate));
   return { state: putShare(state, service.config.service, share), waitMs };
 }
 
-/** Boxes with an entry that the box list names; a box that fell silent still has its part. */
+/**
+ * Divides the limit by the boxes that the box list gives an entry; unresponsive boxes keep their
+ * share.
+ */
 function rateOf(state: EntryState, { config }: ServiceEntry, nowMs: number): BucketRate {
   const { boxList } = state.control.catalog;
   const entryBoxes = boxList.boxes.filter((box) => box.entryPeerPort > 0).length;
-  const whole = { perSecond: config.limits.requestsPerSecond, burst: config.limits.burstRequests };
-  return entryRate(whole, { entryBoxes, listedForMs: nowMs - state.control.listedAtMs });
+  const total = { perSecond: config.limits.requestsPerSecond, burst: config.limits.burstRequests };
+  return entryRate(total, { entryBoxes, listedForMs: nowMs - state.control.listedAtMs });
 }
 
 function shareOf(state: EntryState, service: ServiceEntry, nowMs: number): LimitShare {
-  const held = state.serviceShares.get(service.config.service);
-  return held ?? newShare(rateOf(state, service, nowMs), { nowMs });
+  const stored = state.serviceShares.get(service.config.service);
+  return stored ?? newShare(rateOf(state, service, nowMs), { nowMs });
 }
 
 function putShare(state: EntryState, service: string, share: LimitShare): EntryState {
@@ -70,10 +73,10 @@
 }
 
 /**
- * Asks another entry for tokens where callers were turned away; called with each tick.
+ * Requests tokens from another entry if callers were refused; called on each tick.
  *
  * @param state - The entry's state.
- * @param nowMs - The present moment; picks the lender.
+ * @param nowMs - Current time, in milliseconds; it also selects the lender.
  * @returns The step.
  */
 export function borrowTokens(state: EntryState, nowMs: number): EntryStep {
@@ -85,14 +88,14 @@
   if (lender === undefined) {
     return step(state);
   }
-  const short = state.serviceShares.filter(
+  const exhausted = state.serviceShares.filter(
     (share) => share.refusedSinceLoan > 0 && !share.borrowing,
   );
-  const asking = short.map((share) => ({ ...share, borrowing: true, refusedSinceLoan: 0 }));
-  const borrows = [...short].map(([service, share]) => {
+  const requesting = exhausted.map((share) => ({ ...share, borrowing: true, refusedSinceLoan: 0 }));
+  const borrows = [...exhausted].map(([service, share]) => {
     return { kind: "borrow", lender, service, tokens: share.refusedSinceLoan } as const;
   });
-  const serviceShares = state.serviceShares.merge(asking);
+  const serviceShares = state.serviceShares.merge(requesting);
   return step<EntryState, EntryEffect>({ ...state, serviceShares }, ...borrows);
 }
 
@@ -100,8 +103,8 @@
  * Lends tokens to another entry.
  *
  * @param state - The entry's state.
- * @param event - What is asked.
- * @returns The step; the tokens are taken off before they are sent.
+ * @param event - The request for tokens.
+ * @returns The step; the tokens are deducted before they are sent.
  */
 export function lendTokens(
   state: EntryState,
@@ -122,13 +125,13 @@
 }
 
 /**
- * Takes in a loan.
+ * Applies a loan.
  *
  * @param state - The entry's state.
- * @param event - Tokens lent; zero where the lender had none or did not answer.
- * @returns The step; a loan nobody awaits is dropped, since it may have come twice.
+ * @param event - Tokens lent; zero if the lender had none or did not answer.
+ * @returns The step; an unexpected loan is dropped, since it may be a duplicate.
  */
-export function takeLoan(
+export function applyLoan(
   state: EntryState,
   event: Extract<EntryEvent, { readonly kind: "loanArrived" }>,
 ): EntryStep {
--- a/entry/shard_asking.ts
+++ b/entry/shard_requests.ts
@@ -1,5 +1,5 @@
 /**
- * Asking for the shards of a query: each joins an identical fetch in flight or starts one.
+ * Requests the shards of a query: each joins an identical fetch in flight or starts a new one.
  *
  * @module
  */
@@ -19,43 +19,43 @@
 import type { EntryState, EntryStep, Fetch, Query } from "./entry_state.js";
 import { type SettledFetch, startFetch } from "./fetches.js";
 
-/** Share of a query's time that a call in flight must have left to be joined. */
+/** Share of a query's remaining time that a fetch in flight must have left to be joined. */
 const JOIN_TIME_SHARE = 0.5;
 
-/** A step that asked for shards, with the fetches that ended at once. */
-interface ShardsAsked {
-  readonly made: EntryStep;
+/** A step that requested shards, with the fetches that settled immediately. */
+interface ShardsRequested {
+  readonly result: EntryStep;
   readonly settled: ReadonlyArray<SettledFetch>;
 }
 
 /**
- * Asks for all shards of a query's group and says where they went.
+ * Requests all shards of a query's group and logs their placement.
  *
  * @param state - The entry's state.
  * @param query - The query, which is in the state.
- * @param nowMs - The present moment.
- * @returns The step and the fetches that ended at once.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The step, and the fetches that settled immediately.
  */
-export function askShards(state: EntryState, query: Query, nowMs: number): ShardsAsked {
+export function requestShards(state: EntryState, query: Query, nowMs: number): ShardsRequested {
   const specs = shardSpecs(state, query);
   const settled: Array<SettledFetch> = [];
   const fetchIds = new Map<string, string>();
   const shapeKey = shapeKeyOf(query);
   const credited = creditQuery(state, query, specs.length);
-  const asked = forEachStep(step<EntryState, EntryEffect>(credited), specs, (next, spec) => {
+  const requested = forEachStep(step<EntryState, EntryEffect>(credited), specs, (next, spec) => {
     const joined = fetchShard(next, { query, shapeKey, ...spec, nowMs });
     settled.push(...joined.settled);
     fetchIds.set(spec.shard, joined.fetchId);
     return joined;
   });
-  const noted = { ...query, fetchIds: ImmutableMap(fetchIds) };
-  const made = andThen(asked, (next) =>
+  const updated = { ...query, fetchIds: ImmutableMap(fetchIds) };
+  const result = andThen(requested, (next) =>
     step<EntryState, EntryEffect>(
-      { ...next, queries: next.queries.set(query.queryId, noted) },
-      placementLog(next, noted),
+      { ...next, queries: next.queries.set(query.queryId, updated) },
+      placementLog(next, updated),
     ),
   );
-  return { made, settled };
+  return { result, settled };
 }
 
 function shardSpecs(state: EntryState, { request, group }: Query) {
@@ -76,14 +76,17 @@
   });
 }
 
-/** First calls pay for hedges and retries; calls that are shared count too, as they save more. */
+/**
+ * First calls add to the budget for hedges and retries; shared calls count too, as they reduce
+ * load.
+ */
 function creditQuery(state: EntryState, { request }: Query, calls: number): EntryState {
   const { service } = request;
   const config = state.control.catalog.services.get(service)?.config;
-  const budget = creditFirstCalls(state.extraLoad.get(service) ?? FULL_BUDGET, calls, {
+  const budget = creditFirstCalls(state.extraLoadBudgets.get(service) ?? FULL_BUDGET, calls, {
     extraLoadShare: config?.limits.extraLoadShare ?? 0,
   });
-  return { ...state, extraLoad: state.extraLoad.set(service, budget) };
+  return { ...state, extraLoadBudgets: state.extraLoadBudgets.set(service, budget) };
 }
 
 interface FetchShardOptions {
@@ -151,7 +154,9 @@
   return { ...started, fetchId, settled: started.settled === undefined ? [] : [started.settled] };
 }
 
-/** A call that is less urgent, or that its leaf may drop long before the deadline, is not joined. */
+/**
+ * A fetch that is less urgent, or whose deadline is much earlier than the query's, is not joined.
+ */
 function mayJoin(fetch: Fetch, query: Query, nowMs: number): boolean {
   const leftMs = fetch.deadlineAtMs - nowMs;
   const wantedMs = query.deadlineAtMs - nowMs;
@@ -159,7 +164,7 @@
   return urgentEnough && leftMs >= wantedMs * JOIN_TIME_SHARE;
 }
 
-/** The key holds all that two calls must have in common but the shard, rights above all. */
+/** Key of what shared calls must have in common, rights included, except the shard. */
 function shapeKeyOf({ request, group, bodyJson }: Query): string {
   return JSON.stringify([request.service, group.snapshot, request.rights, bodyJson]);
 }
--- a/entry/start_queue.ts
+++ b/entry/start_queue.ts
@@ -1,9 +1,9 @@
 /**
- * The queue of queries that wait to be started: the most urgent first, then the earliest deadline.
+ * Queue of queries that wait to be started, by priority and then by deadline.
  *
- * An entry starts no more queries than the leafs' slots can be kept busy with, so that what waits
- * waits here, in order, and an urgent query finds short queues behind it. What would miss its
- * deadline is refused as soon as that shows, as not run.
+ * An entry starts only as many queries as keep the leafs' slots busy. The others wait here in
+ * order, so that urgent queries find short queues at the pools. A query that is predicted to miss
+ * its deadline is refused as not run.
  *
  * @module
  */
@@ -15,18 +15,19 @@
 import { finishQuery, isUrgent } from "./finish_query.js";
 import { addQuery, startQuery } from "./queries.js";
 
-/** Calls in flight for each slot, over all entries, up to which queries are started. */
+/** Calls in flight per slot, over all entries, up to which queries are started. */
 const CALLS_PER_SLOT = 3;
 
 /**
- * Takes a query in: starts it where leafs can be kept no busier by waiting, and queues it else.
+ * Adds a query. Starts it if it is urgent, or if no query is queued and its service has room;
+ * queues it otherwise.
  *
  * @param state - The entry's state.
  * @param query - The query.
- * @param nowMs - The present moment.
+ * @param nowMs - Current time, in milliseconds.
  * @returns The step.
  */
-export function takeIn(state: EntryState, query: Query, nowMs: number): EntryStep {
+export function startOrEnqueue(state: EntryState, query: Query, nowMs: number): EntryStep {
   return andThen(addQuery(state, query, nowMs), (next) =>
     isUrgent(query) || (next.waitingIds.length === 0 && hasRoom(next, query.request.service))
       ? startQuery(next, query.queryId, nowMs)
@@ -40,14 +41,14 @@
 
 function hasRoom(state: EntryState, service: string): boolean {
   if (state.urgentInFlight > 0) {
-    // Urgent queries are given the loop and the slots; others go on one at a time.
+    // While urgent queries are in flight, others are started one at a time.
     return startedCount(state) === state.urgentInFlight;
   }
-  return (state.fetchesByService.get(service) ?? 0) < roomOf(state, service);
+  return (state.fetchesByService.get(service) ?? 0) < maxFetches(state, service);
 }
 
-/** This entry's part of the calls that keep the leafs' slots busy. */
-function roomOf(state: EntryState, service: string): number {
+/** This entry's share of the calls that keep the leafs' slots busy. */
+function maxFetches(state: EntryState, service: string): number {
   const slots = state.control.catalog.services.get(service)?.slotCount ?? 0;
   const entries = countAlive(state.control.membership, "entry");
   return (slots * CALLS_PER_SLOT) / Math.max(1, entries);
@@ -78,7 +79,7 @@
  *
  * @param state - The entry's state.
  * @param request - The query.
- * @returns Milliseconds.
+ * @returns Expected wait, in milliseconds.
  */
 export function expectedStartMs(state: EntryState, request: QueryRequest): number {
   if (isUrgent({ request })) {
@@ -92,20 +93,20 @@
   return waitMs(state, request.service, ahead.length);
 }
 
-/** Queries that run side by side share the time that each takes. */
+/** Assumes that the queue advances by as many queries per mean duration as can run in parallel. */
 function waitMs(state: EntryState, service: string, ahead: number): number {
-  const meanMs = state.queryTimes.get(service) ?? 0;
+  const meanMs = state.meanQueryMs.get(service) ?? 0;
   const shardMap = state.control.catalog.shardMaps.get(service);
   const shardCount = shardMap?.snapshots[0]?.shards.length ?? 1;
-  return (ahead * meanMs) / Math.max(1, roomOf(state, service) / shardCount);
+  return (ahead * meanMs) / Math.max(1, maxFetches(state, service) / shardCount);
 }
 
 /**
- * Starts the next query that its service has room for, and refuses those that would be late.
+ * Starts the next query whose service has room, and refuses those that would miss their deadline.
  *
  * @param state - The entry's state.
- * @param nowMs - The present moment.
- * @returns The step; one query at most is started, so that other events get their turn.
+ * @param nowMs - Current time, in milliseconds.
+ * @returns The step; at most one query is started, so that other events are handled in between.
  */
 export function startNext(state: EntryState, nowMs: number): EntryStep {
   return andThen(refuseLate(state, nowMs), (next) => {
@@ -118,12 +119,14 @@
     }
     const waitingIds = next.waitingIds.filter((each) => each !== queryId);
     return andThen(startQuery({ ...next, waitingIds }, queryId, nowMs), (started) =>
-      waitingIds.length > 0 ? step<EntryState, EntryEffect>(started, WAKE) : step(started),
+      waitingIds.length > 0
+        ? step<EntryState, EntryEffect>(started, SCHEDULE_START)
+        : step(started),
     );
   });
 }
 
-const WAKE: EntryEffect = { kind: "setTimer", timer: { kind: "startNext" }, delayMs: 0 };
+const SCHEDULE_START: EntryEffect = { kind: "setTimer", timer: { kind: "startNext" }, delayMs: 0 };
 
 function refuseLate(state: EntryState, nowMs: number): EntryStep {
   const late = state.waitingIds.flatMap((queryId, index) => {
@@ -131,9 +134,9 @@
     return query !== undefined && isLate(state, query, { ahead: index, nowMs }) ? [query] : [];
   });
   return forEachStep(step<EntryState, EntryEffect>(state), late, (next, query) => {
-    const meanMs = state.queryTimes.get(query.request.service) ?? 0;
-    const told = { ...query, retryAfterMs: Math.ceil(meanMs) };
-    return finishQuery(next, told, { unsettledReason: "overloaded", nowMs });
+    const meanMs = state.meanQueryMs.get(query.request.service) ?? 0;
+    const updated = { ...query, retryAfterMs: Math.ceil(meanMs) };
+    return finishQuery(next, updated, { unsettledReason: "overloaded", nowMs });
   });
 }
 
@@ -142,20 +145,20 @@
   { request, deadlineAtMs }: Query,
   { ahead, nowMs }: { readonly ahead: number; readonly nowMs: number },
 ): boolean {
-  const meanMs = state.queryTimes.get(request.service) ?? 0;
+  const meanMs = state.meanQueryMs.get(request.service) ?? 0;
   return nowMs + waitMs(state, request.service, ahead) + meanMs > deadlineAtMs;
 }
 
 /**
- * Has the queue looked at once fetches have ended.
+ * Schedules a check of the queue if fetches have ended.
  *
  * @param before - State before the event.
  * @param state - State after it.
  * @returns The step.
  */
-export function wakeQueue(before: EntryState, state: EntryState): EntryStep {
+export function scheduleQueueCheck(before: EntryState, state: EntryState): EntryStep {
   const ended = state.fetches.size < before.fetches.size;
   return ended && state.waitingIds.length > 0
-    ? step<EntryState, EntryEffect>(state, WAKE)
+    ? step<EntryState, EntryEffect>(state, SCHEDULE_START)
     : step(state);
 }
