--- a/control/control.ts
+++ b/control/control.ts
@@ -1,9 +1,9 @@
 /**
  * The control slice: one reducer over membership, configuration and lifecycle events.
  *
- * A few daemons of each data centre, chosen by rendezvous hashing and without a lease, watch the
- * platform; all others hear from them. Of an object newly known a few daemons picked at random are told
- * at once, and each regular exchange compares catalogs by a hash, so that what a rumour missed is mended
+ * In each data centre a few daemons, chosen by rendezvous hashing and without a lease, watch the
+ * platform. Each daemon gossips the objects that are new to it to a few randomly chosen daemons.
+ * Regular exchanges compare catalogs by hash, so that daemons which missed an update receive it
  * within a few rounds.
  *
  * @module
@@ -20,19 +20,18 @@
   onExchangeArrived,
   onExchangeFailed,
 } from "./exchanges.js";
-import { boxListObject, takeIn } from "./intake.js";
-import { passOn } from "./make_exchange.js";
+import { gossip } from "./gossip.js";
+import { applyAndGossip, boxListObject } from "./object_updates.js";
 import { becomeReady, chooseWatchers, enterPhase } from "./phases.js";
 
-/** Time between two regular exchanges, in milliseconds. */
+/** Interval between regular exchanges, in milliseconds. */
 export const EXCHANGE_PERIOD_MS = 1_000;
 
 /**
- * Time in which all entries hear that one is leaving, in milliseconds: rumours reach nearly all at
- * once, regular exchanges those they missed (`control_test` has 120 runs of 3 to 40 boxes). Callers
- * may keep advice given until then.
+ * Time within which all entries learn that an entry is leaving, in milliseconds. Address lists
+ * handed out until then may still contain it.
  */
-export const ADVICE_GRACE_MS = 2_500;
+export const ADDRESS_LIST_GRACE_MS = 2_500;
 
 type Handlers = {
   readonly [K in ControlEvent["kind"]]: (
@@ -44,7 +43,7 @@
 const HANDLERS: Handlers = {
   started: onStarted,
   controlTick: onTick,
-  adviceExpiry: onAdviceExpiry,
+  addressListExpiry: onAddressListExpiry,
   platformAnswered: onPlatformAnswered,
   platformFailed: (state, { message }) =>
     step<ControlState, ControlEffect>(
@@ -55,18 +54,22 @@
   exchangeArrived: onExchangeArrived,
   exchangeAnswered: onExchangeAnswered,
   exchangeFailed: onExchangeFailed,
-  objectsFetched: (state, { objects, nowMs }) => takeIn(state, objects, { nowMs, source: "peer" }),
+  objectsFetched: (state, { objects, nowMs }) =>
+    applyAndGossip(state, objects, { nowMs, source: "peer" }),
   objectAccepted: (state, { object, nowMs }) =>
-    takeIn({ ...state, heardPlatformAtMs: nowMs }, [object], { nowMs, source: "submission" }),
+    applyAndGossip({ ...state, lastPlatformContactAtMs: nowMs }, [object], {
+      nowMs,
+      source: "submission",
+    }),
   stopRequested: onStopRequested,
 };
 
 /**
- * Runs one event through the control slice.
+ * Applies one event to the control state.
  *
- * @param state - State so far.
- * @param event - What happened.
- * @returns State after that and what is to be done.
+ * @param state - The current state.
+ * @param event - The event.
+ * @returns The next state, and the effects to run.
  */
 export function stepControl(state: ControlState, event: ControlEvent): ControlStep {
   const handler = HANDLERS[event.kind] as (state: ControlState, event: ControlEvent) => ControlStep;
@@ -74,10 +77,10 @@
 }
 
 /**
- * Tells whether an event is the control slice's.
+ * Returns whether an event belongs to the control slice.
  *
  * @param event - An event of a daemon.
- * @returns Whether `stepControl` takes it.
+ * @returns Whether `stepControl` handles it.
  */
 export function isControlEvent(event: { readonly kind: string }): event is ControlEvent {
   return Object.hasOwn(HANDLERS, event.kind);
@@ -113,15 +116,16 @@
     complete,
   }: Extract<ControlEvent, { readonly kind: "platformAnswered" }>,
 ): ControlStep {
-  const heard = {
+  const updated = {
     ...state,
-    platformHeard: state.platformHeard || complete,
-    heardPlatformAtMs: nowMs,
+    hasPlatformData: state.hasPlatformData || complete,
+    lastPlatformContactAtMs: nowMs,
     confirmedAtMs: complete ? nowMs : state.confirmedAtMs,
   };
   const listed = boxList === undefined ? [] : [boxListObject(boxList)];
-  return andThen(takeIn(heard, [...objects, ...listed], { nowMs, source: "platform" }), (next) =>
-    becomeReady(next, nowMs),
+  return andThen(
+    applyAndGossip(updated, [...objects, ...listed], { nowMs, source: "platform" }),
+    (next) => becomeReady(next, nowMs),
   );
 }
 
@@ -135,17 +139,17 @@
   const membership = { ...state.membership, self: leaving };
   const expiry = {
     kind: "setTimer",
-    timer: { kind: "adviceExpiry" },
-    delayMs: state.adviceKeepMs + ADVICE_GRACE_MS,
+    timer: { kind: "addressListExpiry" },
+    delayMs: state.adviceKeepMs + ADDRESS_LIST_GRACE_MS,
   } as const;
   return andThen(
     andThen(enterPhase({ ...state, membership }, "stopRequested"), (next) =>
       step<ControlState, ControlEffect>(next, expiry),
     ),
-    (next) => passOn(next, [], nowMs),
+    (next) => gossip(next, [], nowMs),
   );
 }
 
-function onAdviceExpiry(state: ControlState): ControlStep {
+function onAddressListExpiry(state: ControlState): ControlStep {
   return enterPhase(state, "adviceExpired");
 }
--- a/control/control_messages.ts
+++ b/control/control_messages.ts
@@ -12,39 +12,41 @@
   readonly revision: number;
 }
 
-/** What two daemons tell each other in one round. */
+/** State that one daemon sends to another in an exchange. */
 export interface Exchange {
   readonly self: Member;
   readonly members: ReadonlyArray<Member>;
   readonly catalogHash: number;
-  /** Revisions that may be news: all held where catalogs differ, those just taken in, or none. */
+  /** Revisions that the receiver may lack: all if catalogs differ, those just applied, or none. */
   readonly revisions: ReadonlyArray<ObjectRevision>;
-  /** Milliseconds since the sender's catalog was known to be the platform's. */
+  /** Milliseconds since the sender's catalog was confirmed to match the platform's. */
   readonly confirmedAgoMs: number;
-  /** Whether the sender asks for all members. */
+  /** Whether the sender requests all members. */
   readonly joining: boolean;
 }
 
-/** Where a daemon is reached by others. */
+/** Address at which other daemons reach a daemon. */
 export interface PeerAddress {
   readonly address: string;
   readonly peerPort: number;
 }
 
 /** Timers of the control slice. */
-export type ControlTimer = { readonly kind: "controlTick" } | { readonly kind: "adviceExpiry" };
+export type ControlTimer =
+  | { readonly kind: "controlTick" }
+  | { readonly kind: "addressListExpiry" };
 
-/** What happens to the control slice. */
+/** Events of the control slice. */
 export type ControlEvent =
   | { readonly kind: "started"; readonly nowMs: number }
   | { readonly kind: "controlTick"; readonly nowMs: number }
-  | { readonly kind: "adviceExpiry"; readonly nowMs: number }
+  | { readonly kind: "addressListExpiry"; readonly nowMs: number }
   | {
       readonly kind: "platformAnswered";
       readonly nowMs: number;
       readonly objects: ReadonlyArray<CatalogObject>;
       readonly boxList: BoxList | undefined;
-      /** Whether all objects are known now; the box list alone does not tell. */
+      /** Whether all objects are known after this answer; false for the box list alone. */
       readonly complete: boolean;
     }
   | { readonly kind: "platformFailed"; readonly nowMs: number; readonly message: string }
@@ -73,14 +75,14 @@
     }
   | { readonly kind: "stopRequested"; readonly nowMs: number };
 
-/** What the control slice asks for. */
+/** Effects of the control slice. */
 export type ControlEffect =
   | SetTimerEffect<ControlTimer>
   | TelemetryEffect
   | {
       readonly kind: "exchange";
       readonly peer: PeerAddress;
-      /** Member expected there; empty for an address known only from the box list or settings. */
+      /** Expected member; empty for an address known only from the box list or the settings. */
       readonly memberId: string;
       readonly exchange: Exchange;
     }
--- a/control/control_state.ts
+++ b/control/control_state.ts
@@ -16,9 +16,9 @@
 /** Settings of the control slice. */
 export interface ControlOptions {
   readonly self: Member;
-  /** Addresses to try before any member is known. */
+  /** Addresses to contact before any member is known. */
   readonly seeds: ReadonlyArray<PeerAddress>;
-  /** Time that callers may keep advice, in milliseconds. */
+  /** Time for which callers may use an address list, in milliseconds. */
   readonly adviceKeepMs?: number;
 }
 
@@ -28,29 +28,29 @@
   readonly catalog: Catalog;
   readonly lifecycle: Lifecycle;
   readonly random: RandomGenerator;
-  /** Revisions asked of a peer, and when. */
+  /** Revisions requested from a peer, and the time of the request. */
   readonly fetching: ImmutableMap<string, { readonly revision: number; readonly atMs: number }>;
   readonly seeds: ReadonlyArray<PeerAddress>;
   readonly adviceKeepMs: number;
   readonly startedAtMs: number;
   readonly ticks: number;
   readonly watching: boolean;
-  readonly heardOtherBoxAtMs: number;
-  readonly heardPlatformAtMs: number;
+  readonly lastBoxContactAtMs: number;
+  readonly lastPlatformContactAtMs: number;
   readonly confirmedAtMs: number;
-  /** When the box list first named this box; infinite before. */
+  /** Time at which the box list first contained this box; infinite before that. */
   readonly listedAtMs: number;
-  readonly platformHeard: boolean;
-  readonly peerHeard: boolean;
+  readonly hasPlatformData: boolean;
+  readonly hasPeerContact: boolean;
 }
 
 /** One step of the control slice. */
 export type ControlStep = Step<ControlState, ControlEffect>;
 
 /**
- * Makes the control state of a daemon that has not started yet.
+ * Creates the control state of a daemon that has not started yet.
  *
- * @param options - Its settings.
+ * @param options - Settings of the control slice.
  * @returns The state.
  */
 export function newControl(options: ControlOptions): ControlState {
@@ -65,11 +65,11 @@
     startedAtMs: Number.NEGATIVE_INFINITY,
     ticks: 0,
     watching: false,
-    heardOtherBoxAtMs: Number.NEGATIVE_INFINITY,
-    heardPlatformAtMs: Number.NEGATIVE_INFINITY,
+    lastBoxContactAtMs: Number.NEGATIVE_INFINITY,
+    lastPlatformContactAtMs: Number.NEGATIVE_INFINITY,
     confirmedAtMs: Number.NEGATIVE_INFINITY,
     listedAtMs: Number.POSITIVE_INFINITY,
-    platformHeard: false,
-    peerHeard: false,
+    hasPlatformData: false,
+    hasPeerContact: false,
   };
 }
--- a/control/control_test.ts
+++ b/control/control_test.ts
@@ -3,17 +3,17 @@
 import { aliveMembers } from "../membership/mod.js";
 import type { Member } from "../model/mod.js";
 import {
-  ADVICE_GRACE_MS,
+  ADDRESS_LIST_GRACE_MS,
   type ControlEvent,
   type ControlState,
   newControl,
   stepControl,
 } from "./mod.js";
 
-/** Time that a message takes from daemon to daemon, in milliseconds. */
+/** Delivery time of a message between daemons, in milliseconds. */
 const HOP_MS = 5;
 
-/** Time in which all daemons have heard of one another, in milliseconds. */
+/** Time within which all daemons know one another, in milliseconds. */
 const SETTLE_MS = 30_000;
 
 interface Delivery {
@@ -22,7 +22,7 @@
   readonly event: (nowMs: number) => ControlEvent;
 }
 
-/** Control cores of several boxes that exchange in virtual time, without losses. */
+/** Control cores of several boxes that exchange messages in virtual time, without loss. */
 class Fleet {
   readonly #states = new Map<string, ControlState>();
   readonly #deliveries = new TinyQueue<Delivery>([], (a, b) => a.atMs - b.atMs);
@@ -33,7 +33,7 @@
       return [member(`box-${index}`, "entry", seed), member(`box-${index}`, "pool", seed)];
     }).flat();
     for (const [index, self] of members.entries()) {
-      // Daemons do not start at one moment, so their regular exchanges lie apart.
+      // Start times are staggered, so that regular exchanges do not coincide.
       const startMs = (index * 137 + seed * 61) % 1_000;
       const seeds = members.slice(0, 3).map(({ address, peerPort }) => ({ address, peerPort }));
       this.#states.set(addressOf(self), newControl({ self, seeds }));
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Lets time pass. */
+  /** Advances virtual time. */
   run(untilMs: number): void {
     for (;;) {
       const next = this.#deliveries.peek();
@@ -72,8 +72,8 @@
     this.#deliver(to, { kind: "stopRequested", nowMs: this.#nowMs });
   }
 
-  /** Entries that still advise callers to use an entry. */
-  advising(memberId: string): ReadonlyArray<string> {
+  /** Entries that still list an entry to callers. */
+  listing(memberId: string): ReadonlyArray<string> {
     return [...this.#states.values()]
       .filter(({ membership }) => {
         const alive = aliveMembers(membership, "entry").map((entry) => entry.memberId);
@@ -123,7 +123,7 @@
   return `${address}:${peerPort}`;
 }
 
-/** The asker's address as a number, so that the reply finds its way back. */
+/** Encodes the sender's address as a request ID, to route the reply. */
 function requestIdOf(from: string): number {
   const [address = "", port = ""] = from.split(":");
   return Number(address.split(".")[3]) * 10 + (Number(port) - 7000);
@@ -155,16 +155,16 @@
   { boxCount: 40, seeds: 3 },
 ] as const;
 
-t.test("no entry advises a leaving one any more once its grace has begun to run", async (t) => {
+t.test("no entry lists a leaving entry to callers after the grace time", async (t) => {
   for (const { boxCount, seeds } of SIZES) {
     for (let seed = 1; seed <= seeds; seed++) {
       const fleet = new Fleet(boxCount, seed);
       fleet.run(SETTLE_MS);
-      t.equal(fleet.advising("box-0/entry").length, boxCount, `${boxCount} boxes, seed ${seed}`);
+      t.equal(fleet.listing("box-0/entry").length, boxCount, `${boxCount} boxes, seed ${seed}`);
       fleet.stop("10.0.0.1:7000");
-      fleet.run(SETTLE_MS + ADVICE_GRACE_MS);
-      const still = fleet.advising("box-0/entry");
-      t.same(still, [], `${boxCount} boxes, seed ${seed}: still advised`);
+      fleet.run(SETTLE_MS + ADDRESS_LIST_GRACE_MS);
+      const remaining = fleet.listing("box-0/entry");
+      t.same(remaining, [], `${boxCount} boxes, seed ${seed}: still listed`);
     }
   }
 });
--- a/control/exchanges.ts
+++ b/control/exchanges.ts
@@ -1,5 +1,5 @@
 /**
- * Exchanges with other daemons: membership, news, and what each lacks.
+ * Exchanges with other daemons: membership, updates and missing objects.
  *
  * @module
  */
@@ -15,27 +15,29 @@
   PeerAddress,
 } from "./control_messages.js";
 import type { ControlState, ControlStep } from "./control_state.js";
-import { exchangeWith, makeExchange, passOn, pickOne, revisionOf } from "./make_exchange.js";
+import { exchangeWith, gossip, makeExchange, pickOne, revisionOf } from "./gossip.js";
 
-/** Every so many ticks an address is tried that membership does not hold for alive. */
-const SEED_EVERY_TICKS = 3;
+/** Number of ticks between exchanges with an address that has no live member. */
+const SEED_INTERVAL_TICKS = 3;
 
-/** Time after which an object asked of one peer is asked of another, in milliseconds. */
-const FETCH_MS = 1_000;
+/** Time after which a requested object may be requested from another peer, in milliseconds. */
+const FETCH_TIMEOUT_MS = 1_000;
 
 /**
- * Exchanges with one other daemon, and now and then with an address that membership does not hold
- * for alive.
+ * Exchanges with one other daemon, and periodically with an address that has no live member.
  *
  * @param state - The control state.
- * @param nowMs - The present moment.
+ * @param nowMs - Current time, in milliseconds.
  * @returns The step.
  */
 export function exchangeRegularly(state: ControlState, nowMs: number): ControlStep {
   const targets = [...state.membership.records.values()]
     .map((record) => record.member)
     .filter((member) => member.state !== "dead");
-  const seeds = targets.length === 0 || state.ticks % SEED_EVERY_TICKS === 0 ? unheld(state) : [];
+  const seeds =
+    targets.length === 0 || state.ticks % SEED_INTERVAL_TICKS === 0
+      ? unclaimedAddresses(state)
+      : [];
   const [target, afterTarget] = pickOne(state, targets);
   const [seed, afterSeed] = pickOne(afterTarget, seeds);
   const toTarget =
@@ -47,13 +49,13 @@
     : andThen(toTarget, (next) => exchangeWith(next, { ...seed, memberId: "" }, { nowMs }));
 }
 
-/** Addresses from settings and box list that no live member stands at. */
-function unheld(state: ControlState): ReadonlyArray<PeerAddress> {
+/** Returns the addresses in the settings and the box list that have no live member. */
+function unclaimedAddresses(state: ControlState): ReadonlyArray<PeerAddress> {
   const { self, records } = state.membership;
-  const held = new Set([addressKey(self)]);
+  const claimed = new Set([addressKey(self)]);
   for (const { member } of records.values()) {
     if (member.state !== "dead") {
-      held.add(addressKey(member));
+      claimed.add(addressKey(member));
     }
   }
   const listed = state.catalog.boxList.boxes.flatMap((box) =>
@@ -61,7 +63,7 @@
       .filter((port) => port > 0)
       .map((peerPort) => ({ address: box.address, peerPort })),
   );
-  return [...state.seeds, ...listed].filter((peer) => !held.has(addressKey(peer)));
+  return [...state.seeds, ...listed].filter((peer) => !claimed.has(addressKey(peer)));
 }
 
 function addressKey(peer: PeerAddress): string {
@@ -72,20 +74,20 @@
  * Answers another daemon's exchange.
  *
  * @param state - The control state.
- * @param event - What it says.
+ * @param event - The exchange.
  * @returns The step, with the reply.
  */
 export function onExchangeArrived(
   state: ControlState,
   { nowMs, requestId, exchange }: Extract<ControlEvent, { readonly kind: "exchangeArrived" }>,
 ): ControlStep {
-  return andThen(hear(state, exchange, nowMs), (heard) => {
-    const [made, next] = makeExchange(heard, { nowMs, revisions: [], joining: false });
-    const differs = exchange.catalogHash !== heard.catalog.hash;
+  return andThen(applyExchange(state, exchange, nowMs), (merged) => {
+    const [base, next] = makeExchange(merged, { nowMs, revisions: [], joining: false });
+    const differs = exchange.catalogHash !== merged.catalog.hash;
     const reply: Exchange = {
-      ...made,
-      members: exchange.joining ? allMembers(heard) : made.members,
-      revisions: differs ? allRevisions(heard.catalog) : [],
+      ...base,
+      members: exchange.joining ? allMembers(merged) : base.members,
+      revisions: differs ? allRevisions(merged.catalog) : [],
     };
     return step(next, { kind: "replyExchange", requestId, exchange: reply });
   });
@@ -100,7 +102,7 @@
 }
 
 /**
- * Takes in the reply to an exchange.
+ * Applies the reply to an exchange.
  *
  * @param state - The control state.
  * @param event - The reply.
@@ -110,37 +112,48 @@
   state: ControlState,
   { nowMs, peer, exchange }: Extract<ControlEvent, { readonly kind: "exchangeAnswered" }>,
 ): ControlStep {
-  return andThen(hear(state, exchange, nowMs), (heard) =>
+  return andThen(applyExchange(state, exchange, nowMs), (merged) =>
     exchange.revisions.length === 0
-      ? step<ControlState, ControlEffect>(heard)
-      : tellOwed(heard, { peer, exchange, nowMs }),
+      ? step<ControlState, ControlEffect>(merged)
+      : sendMissing(merged, { peer, exchange, nowMs }),
   );
 }
 
-interface TellOwedOptions {
+interface SendMissingOptions {
   readonly peer: PeerAddress;
   readonly exchange: Exchange;
   readonly nowMs: number;
 }
 
-/** Tells the peer of what it lacks, by the list of all that it holds. */
-function tellOwed(state: ControlState, { peer, exchange, nowMs }: TellOwedOptions): ControlStep {
+/** Sends the revisions that the peer lacks, given the list of all its revisions. */
+function sendMissing(
+  state: ControlState,
+  { peer, exchange, nowMs }: SendMissingOptions,
+): ControlStep {
   const theirs = new Map(exchange.revisions.map(({ key, revision }) => [key, revision]));
-  const owed = [...state.catalog.objects.values()]
+  const missing = [...state.catalog.objects.values()]
     .map(revisionOf)
     .filter(({ key, revision }) => revision > (theirs.get(key) ?? 0));
   const target = { ...peer, memberId: exchange.self.memberId };
-  return owed.length === 0 ? step(state) : exchangeWith(state, target, { nowMs, revisions: owed });
+  return missing.length === 0
+    ? step(state)
+    : exchangeWith(state, target, { nowMs, revisions: missing });
 }
 
-/** Fetches from a peer what it holds newer, unless the same is being fetched already. */
-function fetchNews(state: ControlState, { self, revisions }: Exchange, nowMs: number): ControlStep {
+/** Fetches the objects that are newer at the peer, unless they are being fetched already. */
+function fetchNewer(
+  state: ControlState,
+  { self, revisions }: Exchange,
+  nowMs: number,
+): ControlStep {
   const wanted = revisions.filter(({ key, revision }) => {
-    const held = state.catalog.objects.get(key)?.revision ?? 0;
-    const asked = state.fetching.get(key);
-    const isAsked =
-      asked !== undefined && asked.revision >= revision && nowMs - asked.atMs < FETCH_MS;
-    return revision > held && !isAsked;
+    const current = state.catalog.objects.get(key)?.revision ?? 0;
+    const pending = state.fetching.get(key);
+    const isPending =
+      pending !== undefined &&
+      pending.revision >= revision &&
+      nowMs - pending.atMs < FETCH_TIMEOUT_MS;
+    return revision > current && !isPending;
   });
   if (wanted.length === 0) {
     return step(state);
@@ -155,7 +168,7 @@
   );
 }
 
-function hear(state: ControlState, exchange: Exchange, nowMs: number): ControlStep {
+function applyExchange(state: ControlState, exchange: Exchange, nowMs: number): ControlStep {
   const { membership, changed } = mergeMembers(
     state.membership,
     [exchange.self, ...exchange.members],
@@ -167,12 +180,12 @@
   const confirmedAtMs = sameCatalog
     ? Math.max(state.confirmedAtMs, nowMs - exchange.confirmedAgoMs)
     : state.confirmedAtMs;
-  const heard: ControlState = {
+  const merged: ControlState = {
     ...state,
     membership,
     confirmedAtMs,
-    heardOtherBoxAtMs: otherBox ? nowMs : state.heardOtherBoxAtMs,
-    peerHeard: state.peerHeard || (otherBox && exchange.catalogHash !== 0),
+    lastBoxContactAtMs: otherBox ? nowMs : state.lastBoxContactAtMs,
+    hasPeerContact: state.hasPeerContact || (otherBox && exchange.catalogHash !== 0),
   };
   const logs = changed.map((member) =>
     logInfo("membership", `${member.memberId} is ${member.state}`, {
@@ -180,18 +193,18 @@
     }),
   );
   const isLeaving = changed.some(({ state: phase }) => phase === "leaving");
-  const told = andThen(step<ControlState, ControlEffect>(heard, ...logs), (next) =>
-    fetchNews(next, exchange, nowMs),
+  const applied = andThen(step<ControlState, ControlEffect>(merged, ...logs), (next) =>
+    fetchNewer(next, exchange, nowMs),
   );
-  // Callers keep advice for seconds, so an entry that leaves is told of without waiting for a tick.
-  return isLeaving ? andThen(told, (next) => passOn(next, [], nowMs)) : told;
+  // Callers cache address lists, so a leaving entry is announced without waiting for the next tick.
+  return isLeaving ? andThen(applied, (next) => gossip(next, [], nowMs)) : applied;
 }
 
 /**
- * Notes that a daemon did not answer an exchange.
+ * Records that a daemon did not answer an exchange.
  *
  * @param state - The control state.
- * @param event - Who did not.
+ * @param event - The daemon that did not answer.
  * @returns The step.
  */
 export function onExchangeFailed(
--- a/control/make_exchange.ts
+++ b/control/gossip.ts
@@ -1,5 +1,5 @@
 /**
- * Makes exchanges with other daemons, and passes news on to a few of them.
+ * Builds exchanges with other daemons, and gossips updates to a few of them.
  *
  * @module
  */
@@ -12,15 +12,15 @@
 import type { ControlState, ControlStep } from "./control_state.js";
 import { confirmedAgoMs } from "./isolation.js";
 
-/** Daemons that news is passed on to at once. */
-export const RUMOUR_FANOUT = 4;
+/** Number of daemons that an update is gossiped to. */
+export const GOSSIP_FANOUT = 4;
 
 /**
- * Picks one of some items by the state's own random numbers.
+ * Picks a random item with the state's random generator.
  *
  * @param state - The control state.
  * @param items - The items.
- * @returns The item, nothing where there is none, and the state after the draw.
+ * @returns The item, or `undefined` if there is none, and the state after the draw.
  */
 export function pickOne<T>(
   state: ControlState,
@@ -33,10 +33,10 @@
   return [items[index], { ...state, random }];
 }
 
-/** How an exchange is made. */
+/** Options of {@link exchangeWith}. */
 export interface ExchangeOptions {
   readonly nowMs: number;
-  /** News that the other daemon may fetch. */
+  /** Updated revisions that the other daemon may fetch. */
   readonly revisions?: ReadonlyArray<ObjectRevision>;
 }
 
@@ -44,8 +44,8 @@
  * Exchanges with one other daemon.
  *
  * @param state - The control state.
- * @param peer - The daemon; its id is empty where only an address is known.
- * @param options - The present moment, and news.
+ * @param peer - The daemon; its ID is empty if only its address is known.
+ * @param options - The current time, and updated revisions.
  * @returns The step.
  */
 export function exchangeWith(
@@ -59,7 +59,7 @@
   return step(next, { kind: "exchange", peer: { address, peerPort }, memberId, exchange });
 }
 
-/** What an exchange tells. */
+/** Options of {@link makeExchange}. */
 export interface MakeExchangeOptions {
   readonly nowMs: number;
   readonly revisions: ReadonlyArray<ObjectRevision>;
@@ -67,28 +67,25 @@
 }
 
 /**
- * Makes what one daemon tells another.
+ * Builds the exchange that this daemon sends.
  *
  * @param state - The control state.
- * @param options - The present moment, news, and whether this daemon is new.
- * @returns The exchange, and the state after the draws for it.
+ * @param options - The current time, updated revisions, and whether this daemon is joining.
+ * @returns The exchange, and the state after the random draws.
  */
 export function makeExchange(
   state: ControlState,
   { nowMs, revisions, joining }: MakeExchangeOptions,
 ): readonly [Exchange, ControlState] {
   let random = state.random;
-  const { membership, piggybackMembers: riders } = selectPiggybackMembers(
-    state.membership,
-    (count) => {
-      const [index, nextRandom] = prand.uniformIntDistribution(0, count - 1, random);
-      random = nextRandom;
-      return index;
-    },
-  );
+  const { membership, piggybackMembers } = selectPiggybackMembers(state.membership, (count) => {
+    const [index, nextRandom] = prand.uniformIntDistribution(0, count - 1, random);
+    random = nextRandom;
+    return index;
+  });
   const exchange: Exchange = {
     self: membership.self,
-    members: riders,
+    members: piggybackMembers,
     catalogHash: state.catalog.hash,
     revisions,
     confirmedAgoMs: confirmedAgoMs(state, nowMs),
@@ -98,10 +95,11 @@
 }
 
 /**
- * Tells news to a few daemons picked at random; each that finds it new fetches it once and does the
- * same. The daemon's own state goes along, so that without objects it tells just that.
+ * Gossips updated objects to a few random daemons, which fetch the ones that they lack and gossip
+ * in turn. An exchange always includes this daemon's own state, so without objects only that is
+ * sent.
  */
-export function passOn(
+export function gossip(
   state: ControlState,
   objects: ReadonlyArray<CatalogObject>,
   nowMs: number,
@@ -110,20 +108,20 @@
   let targets = [...state.membership.records.values()]
     .map((record) => record.member)
     .filter((member) => member.state !== "dead");
-  let passed = step<ControlState, ControlEffect>(state);
-  for (let sent = 0; sent < RUMOUR_FANOUT && targets.length > 0; sent++) {
-    const [target, picked] = pickOne(passed.state, targets);
+  let result = step<ControlState, ControlEffect>(state);
+  for (let sent = 0; sent < GOSSIP_FANOUT && targets.length > 0; sent++) {
+    const [target, picked] = pickOne(result.state, targets);
     targets = targets.filter((member) => member !== target);
     if (target !== undefined) {
-      const told = exchangeWith(picked, target, { nowMs, revisions });
-      passed = { state: told.state, effects: [...passed.effects, ...told.effects] };
+      const exchanged = exchangeWith(picked, target, { nowMs, revisions });
+      result = { state: exchanged.state, effects: [...result.effects, ...exchanged.effects] };
     }
   }
-  return passed;
+  return result;
 }
 
 /**
- * Names an object with its revision.
+ * Returns an object's key with its revision.
  *
  * @param object - The object.
  * @returns Its key and revision.
--- a/control/mod.ts
+++ b/control/mod.ts
@@ -1,5 +1,5 @@
 /**
- * What every daemon does besides its own work: membership, configuration and its own lifecycle.
+ * Control plane of every daemon: membership, configuration and lifecycle.
  *
  * @module
  */
--- a/control/intake.ts
+++ b/control/object_updates.ts
@@ -1,5 +1,5 @@
 /**
- * Taking in objects: in force at once where newer, and told to others.
+ * Applies objects that are newer than the stored ones, and gossips them.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import type { BoxList, CatalogObject } from "../model/mod.js";
 import type { ControlEffect } from "./control_messages.js";
 import type { ControlState, ControlStep } from "./control_state.js";
-import { passOn, revisionOf } from "./make_exchange.js";
+import { gossip, revisionOf } from "./gossip.js";
 
-/** Turns a box list into a catalog object, so that it travels as the configuration does. */
+/** Converts a box list to a catalog object, so that it is distributed like the configuration. */
 export function boxListObject(boxList: BoxList): CatalogObject {
   const { version } = boxList;
   return {
@@ -23,49 +23,49 @@
   };
 }
 
-interface TakeInOptions {
+interface ApplyOptions {
   readonly nowMs: number;
   readonly source: "platform" | "peer" | "submission";
 }
 
 /**
- * Takes in objects and tells others of those that were newer.
+ * Applies the objects that are newer and gossips them to other daemons.
  *
  * @param state - The control state.
- * @param objects - Objects, already checked.
- * @param options - The present moment, and where they came from.
+ * @param objects - Validated objects.
+ * @param options - The current time, and the source of the objects.
  * @returns The step.
  */
-export function takeIn(
+export function applyAndGossip(
   state: ControlState,
   objects: ReadonlyArray<CatalogObject>,
-  { nowMs, source }: TakeInOptions,
+  { nowMs, source }: ApplyOptions,
 ): ControlStep {
   const { catalog, adopted } = applyObjects(state.catalog, objects);
   if (adopted.length === 0) {
     return step(state);
   }
   const fetching = state.fetching.deleteAll(adopted.map((object) => revisionOf(object).key));
-  const next = noteListed({ ...state, catalog, fetching }, nowMs);
-  const wentBack = adopted.filter((object) => {
-    const held = state.catalog.objects.get(objectKey(object.kind, object.name));
-    return held !== undefined && held.revision >= object.revision;
+  const next = recordListing({ ...state, catalog, fetching }, nowMs);
+  const regressed = adopted.filter((object) => {
+    const previous = state.catalog.objects.get(objectKey(object.kind, object.name));
+    return previous !== undefined && previous.revision >= object.revision;
   });
-  const broken = wentBack.flatMap(({ kind, name, revision }) =>
+  const violations = regressed.flatMap(({ kind, name, revision }) =>
     invariantBroken("revisions go up", { kind, name, revision }),
   );
   const logs = adopted.map((object) =>
-    logInfo("catalog", `put ${object.kind} ${object.name} in force`, {
+    logInfo("catalog", `applied ${object.kind} ${object.name}`, {
       revision: object.revision,
       source,
     }),
   );
-  return andThen(step<ControlState, ControlEffect>(next, ...broken, ...logs), (told) =>
-    passOn(told, adopted, nowMs),
+  return andThen(step<ControlState, ControlEffect>(next, ...violations, ...logs), (applied) =>
+    gossip(applied, adopted, nowMs),
   );
 }
 
-function noteListed(state: ControlState, nowMs: number): ControlState {
+function recordListing(state: ControlState, nowMs: number): ControlState {
   const { box } = state.membership.self;
   const listed = state.catalog.boxList.boxes.some((entry) => entry.box === box);
   return listed && state.listedAtMs === Number.POSITIVE_INFINITY
--- a/control/ownership.ts
+++ b/control/ownership.ts
@@ -1,8 +1,8 @@
 /**
  * Which pool owns which leaf: rendezvous hashing over the live pools of the leaf's data centre.
  *
- * Ownership is an optimisation and never a safety rule: while memberships differ two pools may own
- * a leaf, and each keeps to half of the leaf's connections.
+ * Ownership is an optimisation, not a guarantee: while views of the membership differ, two pools
+ * may own a leaf, so each uses at most half of the leaf's connections.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import { aliveMembers, type Membership } from "../membership/mod.js";
 import type { Member } from "../model/mod.js";
 
-/** Pools that may be asked for a leaf, the owner first and the standby second. */
+/** Pools that may call a leaf, the owner first and the standby second. */
 export type OwnerRank = ReadonlyArray<Member>;
 
 interface OwnerView {
@@ -19,9 +19,9 @@
   readonly ranks: Map<string, OwnerRank>;
 }
 
-const OWNERS_KEPT = 3;
+const MAX_OWNERS = 3;
 
-// Ranks depend on the records alone; the memo only saves work and goes with the table.
+// Caches ranks by member table, as they depend on its records only.
 const VIEWS = new WeakMap<Membership["records"], OwnerView>();
 
 /**
@@ -34,12 +34,12 @@
 export function ownersOf(membership: Membership, leaf: Leaf): OwnerRank {
   const view = viewOf(membership);
   const key = `${leaf.dataCentre} ${leaf.service} ${leaf.leafId}`;
-  const known = view.ranks.get(key);
-  if (known !== undefined) {
-    return known;
+  const cached = view.ranks.get(key);
+  if (cached !== undefined) {
+    return cached;
   }
-  const near = view.pools.filter((pool) => pool.dataCentre === leaf.dataCentre);
-  const ranked = rankPools(near.length > 0 ? near : view.pools, key);
+  const local = view.pools.filter((pool) => pool.dataCentre === leaf.dataCentre);
+  const ranked = rankPools(local.length > 0 ? local : view.pools, key);
   view.ranks.set(key, ranked);
   return ranked;
 }
@@ -47,18 +47,18 @@
 function rankPools(pools: ReadonlyArray<Member>, key: string): OwnerRank {
   const byId = new Map(pools.map((pool) => [pool.memberId, pool]));
   return rendezvousRank(key, [...byId.keys()])
-    .slice(0, OWNERS_KEPT)
+    .slice(0, MAX_OWNERS)
     .flatMap((memberId) => byId.get(memberId) ?? []);
 }
 
 function viewOf(membership: Membership): OwnerView {
-  const known = VIEWS.get(membership.records);
-  // The daemon's own state is part of the view, so a change of it must not find an old one.
+  const cached = VIEWS.get(membership.records);
+  // A pool's own state is part of the view but not of the records; the cached view must match it.
   if (
-    known !== undefined &&
-    (membership.self.role !== "pool" || selfUnchanged(known, membership))
+    cached !== undefined &&
+    (membership.self.role !== "pool" || selfUnchanged(cached, membership))
   ) {
-    return known;
+    return cached;
   }
   const view = { pools: aliveMembers(membership, "pool"), ranks: new Map<string, OwnerRank>() };
   VIEWS.set(membership.records, view);
--- a/control/phases.ts
+++ b/control/phases.ts
@@ -9,38 +9,40 @@
 import type { Member } from "../model/mod.js";
 import type { ControlEffect } from "./control_messages.js";
 import type { ControlState, ControlStep } from "./control_state.js";
-import { passOn } from "./make_exchange.js";
+import { gossip } from "./gossip.js";
 
-/** Daemons of each data centre that watch the platform. */
+/** Number of daemons per data centre that watch the platform. */
 export const WATCHERS_PER_DATA_CENTRE = 2;
 
-/** Time a daemon waits for both the platform and a peer before it is content with one. */
-const START_WAIT_MS = 1_000;
+/**
+ * Time a daemon waits for both the platform and a peer before either one suffices, in milliseconds.
+ */
+const START_WAIT_LIMIT_MS = 1_000;
 
 /**
- * Begins or ends the watch of the platform, as rendezvous hashing has it.
+ * Starts or stops watching the platform, as decided by rendezvous hashing.
  *
  * @param state - The control state.
- * @param nowMs - The present moment.
+ * @param nowMs - Current time, in milliseconds.
  * @returns The step.
  */
 export function chooseWatchers(state: ControlState, nowMs: number): ControlStep {
   const { self, records } = state.membership;
-  const near = [self, ...[...records.values()].map((record) => record.member)].filter((member) => {
+  const local = [self, ...[...records.values()].map((record) => record.member)].filter((member) => {
     return member.state === "alive" && member.dataCentre === self.dataCentre;
   });
   const ranked = rendezvousRank(
     "watch the platform",
-    near.map((member) => member.memberId),
+    local.map((member) => member.memberId),
   );
-  const chosen = ranked.slice(0, WATCHERS_PER_DATA_CENTRE).includes(self.memberId);
-  // A daemon that is still starting asks the platform itself.
+  const isChosen = ranked.slice(0, WATCHERS_PER_DATA_CENTRE).includes(self.memberId);
+  // A starting daemon watches the platform until it has the platform's data.
   const watching =
-    chosen || (lifecyclePhase(state.lifecycle) === "starting" && !state.platformHeard);
+    isChosen || (lifecyclePhase(state.lifecycle) === "starting" && !state.hasPlatformData);
   if (watching === state.watching) {
     return step(state);
   }
-  const message = watching ? "watches the platform" : "leaves the watch to others";
+  const message = watching ? "watches the platform" : "stops watching the platform";
   return step<ControlState, ControlEffect>(
     { ...state, watching },
     { kind: "watchPlatform", enabled: watching },
@@ -49,34 +51,34 @@
 }
 
 /**
- * Makes a starting daemon ready once it knows a configuration.
+ * Makes a starting daemon ready once it has a configuration.
  *
  * @param state - The control state.
- * @param nowMs - The present moment.
+ * @param nowMs - Current time, in milliseconds.
  * @returns The step.
  */
 export function becomeReady(state: ControlState, nowMs: number): ControlStep {
   if (lifecyclePhase(state.lifecycle) !== "starting") {
     return step(state);
   }
-  const waited = nowMs - state.startedAtMs >= START_WAIT_MS;
-  const heardOne = state.platformHeard || state.peerHeard;
-  const heardBoth = state.platformHeard && state.peerHeard;
-  if (!heardBoth && !(heardOne && waited)) {
+  const hasWaited = nowMs - state.startedAtMs >= START_WAIT_LIMIT_MS;
+  const hasEither = state.hasPlatformData || state.hasPeerContact;
+  const hasBoth = state.hasPlatformData && state.hasPeerContact;
+  if (!hasBoth && !(hasEither && hasWaited)) {
     return step(state);
   }
   const { self } = state.membership;
   const alive: Member = { ...self, state: "alive", version: self.version + 1 };
   const ready = { ...state, membership: { ...state.membership, self: alive } };
-  // Others are told at once, so that callers and calls come.
-  return andThen(enterPhase(ready, "configured"), (next) => passOn(next, [], nowMs));
+  // Other daemons are notified immediately, so that this one receives traffic.
+  return andThen(enterPhase(ready, "configured"), (next) => gossip(next, [], nowMs));
 }
 
 /**
- * Moves the daemon through its life and says so.
+ * Moves the daemon to its next lifecycle phase and logs it.
  *
  * @param state - The control state.
- * @param type - What happened.
+ * @param type - Type of the lifecycle event.
  * @returns The step.
  */
 export function enterPhase(state: ControlState, type: LifecycleEvent["type"]): ControlStep {
