--- a/replay/main.ts
+++ b/replay/main.ts
@@ -1,5 +1,5 @@
 /**
- * Replays a load pattern with all mechanisms and without some, over several seeds.
+ * Replays load patterns over several seeds, optionally with some mechanisms disabled.
  *
  *     npm run replay -- --pattern shed --without loss-shares --seeds 5
  *
@@ -11,23 +11,25 @@
 const USAGE = "Usage: npm run replay -- [--pattern NAME] [--without NAME,NAME] [--seeds N]";
 
 const SPECS = {
-  pattern: { kind: "text", help: "Load pattern; all by default", fallback: "" },
-  without: { kind: "text", help: "Mechanisms to go without, by commas", fallback: "" },
-  seeds: { kind: "number", help: "Seeds to run", fallback: "3", min: 1, max: 1_000 },
+  pattern: { kind: "text", help: "Load pattern to replay; all by default", fallback: "" },
+  without: { kind: "text", help: "Mechanisms to disable, separated by commas", fallback: "" },
+  seeds: { kind: "number", help: "Number of seeds to run", fallback: "3", min: 1, max: 1_000 },
 } as const;
 
 const { settings } = parseSettingsOrExit(USAGE, SPECS);
-const wanted = settings.without.split(",").filter((name) => name !== "");
-const unknown = wanted.find((name) => !MECHANISMS.some((mechanism) => mechanism === name));
+const requested = settings.without.split(",").filter((name) => name !== "");
+const unknown = requested.find((name) => !MECHANISMS.some((mechanism) => mechanism === name));
 const patterns = Object.entries(LOAD_PATTERNS).filter(([name]) => {
   return settings.pattern === "" || settings.pattern === name;
 });
 if (unknown !== undefined || patterns.length === 0) {
   const known = `patterns ${Object.keys(LOAD_PATTERNS).join(" ")}; mechanisms ${MECHANISMS.join(" ")}`;
-  process.stderr.write(`Cannot replay "${unknown ?? settings.pattern}": known are ${known}\n`);
+  process.stderr.write(
+    `Cannot replay "${unknown ?? settings.pattern}": expected one of ${known}\n`,
+  );
   process.exit(2);
 }
-const withouts = new Set(wanted as ReadonlyArray<Mechanism>);
+const disabled = new Set(requested as ReadonlyArray<Mechanism>);
 for (const [name, pattern] of patterns) {
   printRuns(name, pattern);
 }
@@ -35,13 +37,13 @@
 function printRuns(name: string, pattern: LoadPattern): void {
   const worths: Array<number> = [];
   for (let seed = 1; seed <= settings.seeds; seed++) {
-    const account = runReplay(pattern, { seed, without: withouts });
-    worths.push(account.worth);
-    for (const [kind, tally] of account.tallies) {
-      const { asked, earned, failed, heldMs, inAim, late, owed, refused } = tally;
-      const counts = `asked ${asked}, in aim ${inAim}, late ${late}, refused ${refused}, failed ${failed}`;
-      const worth = (earned / Math.max(1, owed)).toFixed(3);
-      const line = `${name} seed ${seed} ${kind}: ${counts}, held ${Math.round(heldMs)} ms, worth ${worth}`;
+    const score = runReplay(pattern, { seed, disabled });
+    worths.push(score.worth);
+    for (const [kind, tally] of score.tallies) {
+      const { received, earned, failed, wastedMs, onTime, late, possible, refused } = tally;
+      const counts = `received ${received}, on time ${onTime}, late ${late}, refused ${refused}, failed ${failed}`;
+      const worth = (earned / Math.max(1, possible)).toFixed(3);
+      const line = `${name} seed ${seed} ${kind}: ${counts}, wasted ${Math.round(wastedMs)} ms, worth ${worth}`;
       process.stdout.write(`${line}\n`);
     }
   }
--- a/replay/mechanism.ts
+++ b/replay/mechanism.ts
@@ -1,10 +1,10 @@
 /**
- * Mechanisms of the decision core that a run can go without, to see what they are worth.
+ * Mechanisms of the decision core that a run can disable, to measure their effect.
  *
  * @module
  */
 
-/** Names of the mechanisms. */
+/** Names of the mechanisms, as given on the command line. */
 export const MECHANISMS = [
   "hedging",
   "refusals",
@@ -20,8 +20,8 @@
   "objective",
 ] as const;
 
-/** A mechanism that a run can go without. */
+/** A mechanism that a run can disable. */
 export type Mechanism = (typeof MECHANISMS)[number];
 
-/** What a run goes without. */
-export type Without = ReadonlySet<Mechanism>;
+/** Mechanisms that are disabled in a run. */
+export type DisabledMechanisms = ReadonlySet<Mechanism>;
--- a/replay/replay_box.ts
+++ b/replay/replay_box.ts
@@ -1,5 +1,5 @@
 /**
- * A box in virtual time: runs the decision core against leafs, and asks leafs for other boxes.
+ * A box in virtual time: runs the decision core against leafs and calls local leafs for other boxes.
  *
  * @module
  */
@@ -20,32 +20,35 @@
 import type { ExtraCallKind } from "../limits/mod.js";
 import type { AttemptOutcome, LeafAnswer } from "../request/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
-import type { Without } from "./mechanism.js";
-import type { LeafEnd, ReplayLeaf } from "./replay_leaf.js";
+import type { DisabledMechanisms } from "./mechanism.js";
+import type { LeafCallEnd, ReplayLeaf } from "./replay_leaf.js";
 
-/** Time of a call's way to a leaf or box of another region, in milliseconds. */
-export const FAR_WAY_MS = 8;
+/** One-way network latency to a leaf or box in another region, in milliseconds. */
+export const REMOTE_LATENCY_MS = 8;
 
-/** Time of a call's way within a region, in milliseconds. */
-const NEAR_WAY_MS = 0.5;
+/** One-way network latency within a region, in milliseconds. */
+const LOCAL_LATENCY_MS = 0.5;
 
-/** Age at which a wait that a box told counts no more, as in the box daemon, in milliseconds. */
-const TOLD_QUEUE_MS = 300;
+/** Age at which a reported queueing time expires, as in the box daemon, in milliseconds. */
+const REPORTED_QUEUE_TTL_MS = 300;
 
-/** Extra calls allowed in a window, as a share of the requests, and the window's length. */
-const EXTRA_SHARE = 0.2;
-const WINDOW_MS = 10_000;
+/** Extra calls allowed in a window, as a share of the requests. */
+const EXTRA_CALL_SHARE = 0.2;
 
-/** What a box is made from. */
+/** Length of that window, in milliseconds. */
+const EXTRA_CALL_WINDOW_MS = 10_000;
+
+/** Options of a {@linkcode ReplayBox}. */
 export interface ReplayBoxOptions {
   readonly schedule: Schedule;
   readonly region: number;
-  /** Boxes among which the slack of extra calls is split. */
-  readonly slackSharers: number;
+  /** Number of boxes that share the slack for extra calls. */
+  readonly boxesSharingSlack: number;
   readonly slackCalls: number;
   readonly leafsByService: ReadonlyMap<string, ReadonlyArray<Leaf>>;
+  /** Simulated leafs, by leaf ID. */
   readonly models: ReadonlyMap<string, ReplayLeaf>;
-  readonly without: Without;
+  readonly disabled: DisabledMechanisms;
 }
 
 /** A call to a leaf. */
@@ -54,36 +57,36 @@
   readonly workMs: number;
 }
 
-const DONE: LeafAnswer = { statusCode: 200, headers: {}, signature: "x", body: Buffer.alloc(0) };
+const ANSWER: LeafAnswer = { statusCode: 200, headers: {}, signature: "x", body: Buffer.alloc(0) };
 
-const OUTCOMES: Readonly<Record<LeafEnd["kind"], AttemptOutcome>> = {
-  answered: { kind: "answered", answer: DONE },
+const OUTCOMES: Readonly<Record<LeafCallEnd["kind"], AttemptOutcome>> = {
+  answered: { kind: "answered", answer: ANSWER },
   refused: { kind: "refused", reason: "full" },
-  lost: { kind: "failed", sent: true, reason: "reset" },
+  failed: { kind: "failed", sent: true, reason: "reset" },
 };
 
-const RESULTS: Readonly<Record<LeafEnd["kind"], CallEnd["result"]>> = {
+const RESULTS: Readonly<Record<LeafCallEnd["kind"], CallEnd["result"]>> = {
   answered: "answered",
   refused: "full",
-  lost: "failed",
+  failed: "failed",
 };
 
-/** One box. */
+/** A simulated box. */
 export class ReplayBox {
   readonly #options: ReplayBoxOptions;
   readonly #leafs: ReadonlyMap<string, Leaf>;
-  readonly #conditions = new Map<string, LeafHealth>();
+  readonly #healthByLeaf = new Map<string, LeafHealth>();
   #budgets: ExtraCallBudgets;
-  readonly #looks = new Map<string, QueueSamples>();
-  readonly #told = new Map<string, { readonly queueMs: number; readonly atMs: number }>();
-  /** Moment until which the box computes and reads nothing. */
+  readonly #queueSamples = new Map<string, QueueSamples>();
+  readonly #reportedQueues = new Map<string, { readonly queueMs: number; readonly atMs: number }>();
+  /** Time until which the box computes and handles no events, in milliseconds. */
   #busyUntilMs = 0;
-  /** Time for which it has been busy, in milliseconds. */
-  #busyMs = 0;
+  /** Total time for which the box has computed, in milliseconds. */
+  #totalBusyMs = 0;
   #nextCallId = 1;
 
   /**
-   * @param options - What the box is made from.
+   * @param options - Options of the box.
    */
   constructor(options: ReplayBoxOptions) {
     this.#options = options;
@@ -97,128 +100,135 @@
     return this.#options.region;
   }
 
-  /** The moment by the clock that stands still while the box is busy. */
-  get waitedMs(): number {
-    const { schedule, without } = this.#options;
-    return without.has("waiting-clock") ? schedule.nowMs : schedule.nowMs - this.#busyMs;
+  /** Current time on the clock of the event loop's idle time, in milliseconds; it does not advance while the box computes. */
+  get eventLoopIdleMs(): number {
+    const { schedule, disabled } = this.#options;
+    return disabled.has("waiting-clock") ? schedule.nowMs : schedule.nowMs - this.#totalBusyMs;
   }
 
-  /** Forgets all that was learnt, as a start anew does. */
-  forget(): void {
-    for (const learnt of [this.#conditions, this.#looks, this.#told]) {
-      learnt.clear();
+  /** Discards all learned state, as a restart does. */
+  reset(): void {
+    for (const state of [this.#healthByLeaf, this.#queueSamples, this.#reportedQueues]) {
+      state.clear();
     }
     this.#budgets = this.#newBudgets();
   }
 
   /**
-   * Lets the box compute for a while; what comes in meanwhile is read after that.
+   * Occupies the event loop; events that arrive meanwhile are handled afterwards.
    *
-   * @param forMs - How long, in milliseconds.
+   * @param forMs - Time to compute, in milliseconds.
    */
   compute(forMs: number): void {
     const now = this.#options.schedule.nowMs;
     this.#busyUntilMs = Math.max(now, this.#busyUntilMs) + forMs;
-    this.#busyMs += forMs;
+    this.#totalBusyMs += forMs;
   }
 
   /**
-   * Does something as soon as the box has time for it.
+   * Runs a function immediately if the event loop is idle, or else as soon as it is.
    *
-   * @param run - What to do.
+   * @param run - Function to run.
    */
-  whenFree(run: () => void): void {
+  runWhenIdle(run: () => void): void {
     const waitMs = this.#busyUntilMs - this.#options.schedule.nowMs;
     if (waitMs <= 0) {
       run();
     } else {
-      this.#options.schedule.after(waitMs, () => this.whenFree(run));
+      this.#options.schedule.after(waitMs, () => this.runWhenIdle(run));
     }
   }
 
-  /** Credits a request to the budget of a service. */
+  /** Credits a request to the extra-call budget of a service. */
   credit(service: string): void {
     this.#budgets.credit(service);
   }
 
-  /** Notes the wait at an index's leafs; tells the one that all the latest looks have found. */
-  noteQueue(index: string, queueMs: number): number {
+  /** Records the queueing time at the leafs of an index and returns the persistent one, in milliseconds. */
+  recordQueue(index: string, queueMs: number): number {
     const { nowMs } = this.#options.schedule;
-    const looks = addQueueSample(this.#looks.get(index) ?? [], { queueMs, atMs: nowMs });
-    this.#looks.set(index, looks);
-    return this.#options.without.has("standing-queues") ? queueMs : persistentQueueMs(looks);
+    const samples = addQueueSample(this.#queueSamples.get(index) ?? [], { queueMs, atMs: nowMs });
+    this.#queueSamples.set(index, samples);
+    return this.#options.disabled.has("standing-queues") ? queueMs : persistentQueueMs(samples);
   }
 
-  /** Notes the wait that a box of a region has told. */
-  noteTold(region: string, queueMs: number): void {
-    this.#told.set(region, { queueMs, atMs: this.#options.schedule.nowMs });
+  /** Records the queueing time that a box of a region has reported. */
+  recordReportedQueue(region: string, queueMs: number): void {
+    this.#reportedQueues.set(region, { queueMs, atMs: this.#options.schedule.nowMs });
   }
 
-  /** Tells the wait at a region's leafs that a box there has told of late, in milliseconds. */
-  #toldQueueMs(region: string): number {
-    const told = this.#told.get(region);
-    const isOld = (told?.atMs ?? 0) < this.#options.schedule.nowMs - TOLD_QUEUE_MS;
-    return told === undefined || isOld ? 0 : told.queueMs;
+  /** Returns the queueing time last reported for a region's leafs, in milliseconds; 0 if none or expired. */
+  #reportedQueueMs(region: string): number {
+    const reported = this.#reportedQueues.get(region);
+    const isExpired = (reported?.atMs ?? 0) < this.#options.schedule.nowMs - REPORTED_QUEUE_TTL_MS;
+    return reported === undefined || isExpired ? 0 : reported.queueMs;
   }
 
-  /** Tells how many extra calls the budget of a service allows. */
+  /** Returns how many extra calls the budget of a service allows. */
   extraCallsLeft(service: string): number {
     return this.#budgets.remaining(service);
   }
 
-  /** Takes an extra call out of the budget of a service, if it allows that. */
+  /** Takes an extra call from the budget of a service; returns whether the budget allows it. */
   takeExtraCall(service: string, kind: ExtraCallKind): boolean {
-    if (kind === "hedge" && this.#options.without.has("hedging")) {
+    if (kind === "hedge" && this.#options.disabled.has("hedging")) {
       return false;
     }
     return this.#budgets.tryTake(service, kind);
   }
 
-  /** Picks a leaf; only near ones where another box asks. */
-  choose(
+  /** Selects a leaf for a call, only among available local ones on behalf of another box. */
+  chooseLeaf(
     service: string,
-    { excluded, isOnlyNear = false, objectiveMs }: ReplayChoice,
+    { excluded, localOnly = false, objectiveMs }: LeafSelection,
   ): ReturnType<typeof chooseLeaf> {
     const leafs = this.#options.leafsByService.get(service) ?? [];
-    const fit = leafs.filter((leaf) => !isOnlyNear || this.#isSound(leaf));
+    const candidates = leafs.filter((leaf) => !localOnly || this.#isAvailable(leaf));
     const { nowMs } = this.#options.schedule;
-    const distance = (leaf: Leaf) => (this.isNear(leaf) ? "zone" : "remote");
-    const seen = { health: (leafId: string) => this.#seenOf(leafId), distance, excluded };
-    const told = (leaf: Leaf) => {
-      const isTold = !this.isNear(leaf) && !this.#options.without.has("told-queues");
-      return isTold ? this.#toldQueueMs(leaf.dataCentre) : 0;
+    const distance = (leaf: Leaf) => (this.isLocal(leaf) ? "zone" : "remote");
+    const selection = {
+      health: (leafId: string) => this.#healthForSelection(leafId),
+      distance,
+      excluded,
+    };
+    const reportedQueueMs = (leaf: Leaf) => {
+      const usesReport = !this.isLocal(leaf) && !this.#options.disabled.has("told-queues");
+      return usesReport ? this.#reportedQueueMs(leaf.dataCentre) : 0;
     };
-    const objective = this.#options.without.has("objective") ? {} : { objectiveMs };
+    const objective = this.#options.disabled.has("objective") ? {} : { objectiveMs };
     const view = {
       nowMs,
-      eventLoopIdleMs: this.waitedMs,
-      ...seen,
+      eventLoopIdleMs: this.eventLoopIdleMs,
+      ...selection,
       ...objective,
-      reportedQueueMs: told,
+      reportedQueueMs,
     };
-    return chooseLeaf(fit, view);
+    return chooseLeaf(candidates, view);
   }
 
-  /** Whether a leaf lies in the box's region. */
-  isNear({ dataCentre }: Pick<Leaf, "dataCentre">): boolean {
+  /** Whether a leaf is in the box's region. */
+  isLocal({ dataCentre }: Pick<Leaf, "dataCentre">): boolean {
     return dataCentre === String(this.region);
   }
 
-  /** Sends a call to a leaf; tells how it ended when the box has read that. */
+  /** Sends a call to a leaf; calls `onEnd` once the box has handled its outcome. */
   send({ leafId, workMs }: ReplayCall, onEnd: (outcome: AttemptOutcome) => void): void {
     const { models, schedule } = this.#options;
-    const note = this.noteSent(leafId);
+    const recordEnd = this.recordSent(leafId);
     const leaf = this.#leafs.get(leafId);
-    const wayMs = leaf !== undefined && this.isNear(leaf) ? NEAR_WAY_MS : FAR_WAY_MS;
-    schedule.after(wayMs, () => {
-      models.get(leafId)?.take(workMs, (end) => {
-        schedule.after(wayMs, () => {
-          this.whenFree(() => {
+    const latencyMs =
+      leaf !== undefined && this.isLocal(leaf) ? LOCAL_LATENCY_MS : REMOTE_LATENCY_MS;
+    schedule.after(latencyMs, () => {
+      models.get(leafId)?.receiveCall(workMs, (end) => {
+        schedule.after(latencyMs, () => {
+          this.runWhenIdle(() => {
             const { reportedLoad } = end;
-            const pace = this.#options.without.has("reported-pace") ? undefined : end.paceFactor;
-            note(RESULTS[end.kind], {
+            const slowdownFactor = this.#options.disabled.has("reported-pace")
+              ? undefined
+              : end.slowdownFactor;
+            recordEnd(RESULTS[end.kind], {
               reportedLoad,
-              slowdownFactor: pace,
+              slowdownFactor,
               slots: leaf?.slots ?? 1,
             });
             onEnd(OUTCOMES[end.kind]);
@@ -228,69 +238,74 @@
     });
   }
 
-  /** Notes a call to a leaf, also one that another box makes; returns what notes its end. */
-  noteSent(leafId: string): (result: CallEnd["result"], told?: ReportedLoad) => void {
+  /** Records a call to a leaf, also one made by another box; returns a function that records its end. */
+  recordSent(leafId: string): (result: CallEnd["result"], report?: ReportedLoad) => void {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const sent = recordCallSent(this.#conditionOf(leafId), { callId, waitedMs: this.waitedMs });
-    this.#conditions.set(leafId, sent);
-    return (result, told) => {
+    const sent = recordCallSent(this.#healthOf(leafId), { callId, waitedMs: this.eventLoopIdleMs });
+    this.#healthByLeaf.set(leafId, sent);
+    return (result, report) => {
       const { nowMs } = this.#options.schedule;
-      const end = { callId, nowMs, eventLoopIdleMs: this.waitedMs, result, ...told };
-      this.#conditions.set(leafId, this.#judged(recordCallEnd(this.#conditionOf(leafId), end)));
+      const end = { callId, nowMs, eventLoopIdleMs: this.eventLoopIdleMs, result, ...report };
+      this.#healthByLeaf.set(
+        leafId,
+        this.#applyDisabledMechanisms(recordCallEnd(this.#healthOf(leafId), end)),
+      );
     };
   }
 
-  #judged(condition: LeafHealth): LeafHealth {
-    return this.#options.without.has("loss-shares") ? { ...condition, failureRate: 0 } : condition;
+  #applyDisabledMechanisms(health: LeafHealth): LeafHealth {
+    return this.#options.disabled.has("loss-shares") ? { ...health, failureRate: 0 } : health;
   }
 
-  #isSound(leaf: Leaf): boolean {
-    const condition = this.#seenOf(leaf.leafId);
-    const isWell = condition.avoidUntilMs <= this.#options.schedule.nowMs;
-    const isHeard = !isUnresponsive(condition, this.waitedMs);
-    return this.isNear(leaf) && !isFull(condition, leaf) && isWell && isHeard;
+  #isAvailable(leaf: Leaf): boolean {
+    const health = this.#healthForSelection(leaf.leafId);
+    const isUsable = health.avoidUntilMs <= this.#options.schedule.nowMs;
+    const isResponsive = !isUnresponsive(health, this.eventLoopIdleMs);
+    return this.isLocal(leaf) && !isFull(health, leaf) && isUsable && isResponsive;
   }
 
-  #conditionOf(leafId: string): LeafHealth {
-    return this.#conditions.get(leafId) ?? INITIAL_LEAF_HEALTH;
+  #healthOf(leafId: string): LeafHealth {
+    return this.#healthByLeaf.get(leafId) ?? INITIAL_LEAF_HEALTH;
   }
 
-  /** What leafs are chosen by. */
-  #seenOf(leafId: string): LeafHealth {
-    const condition = this.#conditionOf(leafId);
-    const isDeaf = this.#options.without.has("silence");
-    return isDeaf ? { ...condition, openCalls: condition.openCalls.map(justSent) } : condition;
+  /** Health of a leaf as leaf selection sees it. */
+  #healthForSelection(leafId: string): LeafHealth {
+    const health = this.#healthOf(leafId);
+    const ignoresUnresponsive = this.#options.disabled.has("silence");
+    return ignoresUnresponsive
+      ? { ...health, openCalls: health.openCalls.map(asJustSent) }
+      : health;
   }
 
   #newBudgets(): ExtraCallBudgets {
-    const { schedule, slackCalls, slackSharers } = this.#options;
+    const { schedule, slackCalls, boxesSharingSlack } = this.#options;
     return new ExtraCallBudgets({
       nowMs: () => schedule.nowMs,
-      share: () => EXTRA_SHARE,
+      share: () => EXTRA_CALL_SHARE,
       slackCalls: () => slackCalls,
-      windowMs: () => WINDOW_MS,
-      slackShare: () => 1 / slackSharers,
+      windowMs: () => EXTRA_CALL_WINDOW_MS,
+      slackShare: () => 1 / boxesSharingSlack,
     });
   }
 }
 
-/** What a leaf is chosen by. */
-export interface ReplayChoice {
+/** Criteria for selecting a leaf. */
+export interface LeafSelection {
   readonly excluded: ReadonlySet<string>;
-  readonly isOnlyNear?: boolean;
-  /** Time within which the answer is worth most, in milliseconds. */
+  readonly localOnly?: boolean;
+  /** Latency objective, in milliseconds. */
   readonly objectiveMs?: number | undefined;
 }
 
-/** Load that a leaf told with an answer. */
+/** Load that a leaf reported with an answer. */
 interface ReportedLoad {
   readonly reportedLoad: number;
   readonly slowdownFactor: number | undefined;
   readonly slots: number;
 }
 
-/** As if the call had just been sent, so that its leaf never seems silent. */
-function justSent(call: LeafHealth["openCalls"][number]): LeafHealth["openCalls"][number] {
+/** Returns the call as if it had just been sent, so that its leaf never counts as unresponsive. */
+function asJustSent(call: LeafHealth["openCalls"][number]): LeafHealth["openCalls"][number] {
   return { ...call, sentAtIdleMs: Number.POSITIVE_INFINITY };
 }
--- a/replay/replay_leaf.ts
+++ b/replay/replay_leaf.ts
@@ -1,95 +1,95 @@
 /**
- * A leaf in virtual time: slots, a queue, pauses, and what goes wrong with it.
+ * A leaf in virtual time: slots, a queue, pauses and faults.
  *
  * @module
  */
 import { fnv1a } from "../hashing/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
-import type { LeafFault, SlowSpells } from "./load_pattern.js";
+import type { LeafFault, SlowPeriods } from "./load_pattern.js";
 
-/** Values that a hash may have. */
-const HASHES = 2 ** 32;
+/** Number of values of a hash. */
+const HASH_RANGE = 2 ** 32;
 
-/** Calls that wait at a leaf before it refuses more. */
-const MOST_WAITING = 12;
+/** Queued calls at which a leaf refuses further ones. */
+const MAX_QUEUED_CALLS = 12;
 
-/** How a call ended at a leaf, with the load that the leaf tells. */
-export interface LeafEnd {
-  readonly kind: "answered" | "refused" | "lost";
-  /** Calls running and waiting. */
+/** How a call ended at a leaf, with the load that the leaf reports. */
+export interface LeafCallEnd {
+  readonly kind: "answered" | "refused" | "failed";
+  /** Running and queued calls. */
   readonly reportedLoad: number;
-  /** Times as long as usual that work takes now. */
-  readonly paceFactor: number;
+  /** Current slowdown; 1 is normal speed. */
+  readonly slowdownFactor: number;
 }
 
-/** What a leaf is made from. */
+/** Options of a {@linkcode ReplayLeaf}. */
 export interface ReplayLeafOptions {
   readonly schedule: Schedule;
   readonly slots: number;
   readonly pauseMs: number;
-  readonly pauseEveryMs: number;
-  /** Moment within its period at which it pauses, in milliseconds. */
-  readonly pausesAtMs: number;
-  /** What goes wrong with this leaf. */
+  readonly pauseIntervalMs: number;
+  /** Offset of the pause within each interval, in milliseconds. */
+  readonly pauseOffsetMs: number;
+  /** Faults that affect this leaf. */
   readonly faults: ReadonlyArray<LeafFault>;
-  /** Its slow spells, and what tells them from those of others. */
-  readonly spells: (SlowSpells & { readonly seed: string }) | undefined;
+  /** Random slow periods, with the leaf's own seed. */
+  readonly slowPeriods: (SlowPeriods & { readonly seed: string }) | undefined;
 }
 
-interface WaitingCall {
+interface QueuedCall {
   readonly workMs: number;
-  readonly onEnd: (end: LeafEnd) => void;
+  readonly onEnd: (end: LeafCallEnd) => void;
 }
 
-/** One leaf. */
+/** A simulated leaf. */
 export class ReplayLeaf {
   readonly #options: ReplayLeafOptions;
-  readonly #waiting: Array<WaitingCall> = [];
+  readonly #queue: Array<QueuedCall> = [];
   #running = 0;
 
   /**
-   * @param options - What the leaf is made from.
+   * @param options - Options of the leaf.
    */
   constructor(options: ReplayLeafOptions) {
     this.#options = options;
   }
 
   /**
-   * Takes a call.
+   * Receives a call, and queues or refuses it.
    *
-   * @param workMs - Time that the call takes a healthy leaf, in milliseconds.
-   * @param onEnd - Told once how it ended.
+   * @param workMs - Processing time of the call on a healthy leaf, in milliseconds.
+   * @param onEnd - Called once when the call has ended.
    */
-  take(workMs: number, onEnd: (end: LeafEnd) => void): void {
-    const sheds = this.#options.schedule.chance(this.#strengthOf("shed"));
-    if (sheds || this.#waiting.length >= MOST_WAITING) {
-      onEnd({ kind: "refused", ...this.#told() });
+  receiveCall(workMs: number, onEnd: (end: LeafCallEnd) => void): void {
+    const isShed = this.#options.schedule.chance(this.#strengthOf("shed"));
+    if (isShed || this.#queue.length >= MAX_QUEUED_CALLS) {
+      onEnd({ kind: "refused", ...this.#loadReport() });
       return;
     }
-    this.#waiting.push({ workMs, onEnd });
+    this.#queue.push({ workMs, onEnd });
     this.#runNext();
   }
 
-  #told(): Pick<LeafEnd, "paceFactor" | "reportedLoad"> {
-    return { reportedLoad: this.#load(), paceFactor: this.#paceFactor() };
+  #loadReport(): Pick<LeafCallEnd, "slowdownFactor" | "reportedLoad"> {
+    return { reportedLoad: this.#load(), slowdownFactor: this.#slowdownFactor() };
   }
 
-  #paceFactor(): number {
-    return Math.max(1, this.#strengthOf("slow")) * this.#spellFactor();
+  #slowdownFactor(): number {
+    return Math.max(1, this.#strengthOf("slow")) * this.#slowPeriodFactor();
   }
 
-  #spellFactor(): number {
-    const { schedule, spells } = this.#options;
-    if (spells === undefined) {
+  #slowPeriodFactor(): number {
+    const { schedule, slowPeriods } = this.#options;
+    if (slowPeriods === undefined) {
       return 1;
     }
-    const period = Math.floor(schedule.nowMs / spells.periodMs);
-    const draw = fnv1a(`${spells.seed} ${period}`) / HASHES;
-    return draw < spells.share ? spells.factor : 1;
+    const period = Math.floor(schedule.nowMs / slowPeriods.periodMs);
+    const draw = fnv1a(`${slowPeriods.seed} ${period}`) / HASH_RANGE;
+    return draw < slowPeriods.share ? slowPeriods.factor : 1;
   }
 
   #load(): number {
-    return this.#running + this.#waiting.length;
+    return this.#running + this.#queue.length;
   }
 
   #strengthOf(kind: LeafFault["kind"]): number {
@@ -103,27 +103,27 @@
 
   #runNext(): void {
     const { schedule, slots } = this.#options;
-    const call = this.#running < slots ? this.#waiting.shift() : undefined;
+    const call = this.#running < slots ? this.#queue.shift() : undefined;
     if (call === undefined) {
       return;
     }
     this.#running += 1;
-    const workMs = call.workMs * this.#paceFactor();
-    schedule.after(workMs + this.#pauseWithin(workMs), () => {
+    const workMs = call.workMs * this.#slowdownFactor();
+    schedule.after(workMs + this.#pauseDuring(workMs), () => {
       this.#running -= 1;
-      const isLost = schedule.chance(this.#strengthOf("lose"));
-      call.onEnd({ kind: isLost ? "lost" : "answered", ...this.#told() });
+      const hasFailed = schedule.chance(this.#strengthOf("reset"));
+      call.onEnd({ kind: hasFailed ? "failed" : "answered", ...this.#loadReport() });
       this.#runNext();
     });
   }
 
-  /** Time of the pause that falls into a call's work, in milliseconds. */
-  #pauseWithin(workMs: number): number {
-    const { pauseEveryMs, pauseMs, pausesAtMs, schedule } = this.#options;
-    const sinceMs = (schedule.nowMs - pausesAtMs + pauseEveryMs) % pauseEveryMs;
+  /** Returns the time of a pause that delays a call, in milliseconds. */
+  #pauseDuring(workMs: number): number {
+    const { pauseIntervalMs, pauseMs, pauseOffsetMs, schedule } = this.#options;
+    const sinceMs = (schedule.nowMs - pauseOffsetMs + pauseIntervalMs) % pauseIntervalMs;
     if (sinceMs < pauseMs) {
       return pauseMs - sinceMs;
     }
-    return sinceMs + workMs > pauseEveryMs ? pauseMs : 0;
+    return sinceMs + workMs > pauseIntervalMs ? pauseMs : 0;
   }
 }
--- a/replay/replay_query.ts
+++ b/replay/replay_query.ts
@@ -1,5 +1,5 @@
 /**
- * One try of a caller, run by the decision core against leafs in virtual time.
+ * One attempt of a caller, run by the decision core against leafs in virtual time.
  *
  * @module
  */
@@ -20,32 +20,32 @@
   stepRequest,
 } from "../request/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
-import type { Without } from "./mechanism.js";
-import { FAR_WAY_MS, type ReplayBox } from "./replay_box.js";
+import type { DisabledMechanisms } from "./mechanism.js";
+import { REMOTE_LATENCY_MS, type ReplayBox } from "./replay_box.js";
 import { ReplayRelay } from "./replay_relay.js";
 
-/** What a try runs on. */
+/** Options of a {@linkcode ReplayQuery}. */
 export interface ReplayQueryOptions {
   readonly schedule: Schedule;
   readonly box: ReplayBox;
-  /** Boxes of each region, one of which is asked for parts at random. */
+  /** Boxes of each region; relay requests go to a random one of them. */
   readonly boxesByRegion: ReadonlyArray<ReadonlyArray<ReplayBox>>;
   readonly terms: RequestTerms;
   readonly services: ReadonlyArray<string>;
-  /** Draws the time that a leaf works for one call, in milliseconds. */
+  /** Draws the processing time of one call, in milliseconds. */
   readonly drawWorkMs: () => number;
-  readonly without: Without;
+  readonly disabled: DisabledMechanisms;
   readonly onReply: (reply: Reply) => void;
 }
 
-/** One try. */
+/** One attempt of a caller. */
 export class ReplayQuery implements RequestContext {
   readonly #options: ReplayQueryOptions;
   readonly #timers = new Map<RequestTimer, number>();
   #state: RequestState;
 
   /**
-   * @param options - What the try runs on.
+   * @param options - Options of the attempt.
    */
   constructor(options: ReplayQueryOptions) {
     this.#options = options;
@@ -57,15 +57,15 @@
   }
 
   get eventLoopIdleMs(): number {
-    return this.#options.box.waitedMs;
+    return this.#options.box.eventLoopIdleMs;
   }
 
   /**
-   * Takes an event of the request.
+   * Applies an event to the request and runs the resulting effects.
    *
-   * @param event - What happened.
+   * @param event - The event.
    */
-  take(event: RequestEvent): void {
+  dispatch(event: RequestEvent): void {
     const next = stepRequest(this.#state, event, this);
     this.#state = next.state;
     for (const effect of next.effects) {
@@ -74,31 +74,31 @@
   }
 
   chooseLeaf(service: string, excluded: ReadonlySet<string>) {
-    const { box, without } = this.#options;
-    const { objectiveAtMs: aimAtMs, arrivedAtMs } = this.#options.terms;
-    const chosen = box.choose(service, { excluded, objectiveMs: aimAtMs - arrivedAtMs });
+    const { box, disabled } = this.#options;
+    const { objectiveAtMs, arrivedAtMs } = this.#options.terms;
+    const chosen = box.chooseLeaf(service, { excluded, objectiveMs: objectiveAtMs - arrivedAtMs });
     if (chosen === undefined) {
       return undefined;
     }
-    const { leaf, queueMs, typicalLatencyMs: usualMs } = chosen;
-    const isFar = !box.isNear(leaf) && !without.has("relays");
-    const relayPlace = isFar ? leaf.dataCentre : undefined;
-    const failureRate = without.has("hopeless-refusals") ? 0 : chosen.failureRate;
+    const { leaf, queueMs, typicalLatencyMs } = chosen;
+    const isRelayed = !box.isLocal(leaf) && !disabled.has("relays");
+    const relayPlace = isRelayed ? leaf.dataCentre : undefined;
+    const failureRate = disabled.has("hopeless-refusals") ? 0 : chosen.failureRate;
     return {
       leafId: leaf.leafId,
-      expectedMs: usualMs,
+      expectedMs: typicalLatencyMs,
       relayPlace,
       queueMs,
-      failureRate: failureRate,
+      failureRate,
     };
   }
 
   chooseBox(relayPlace: string) {
-    return { box: relayPlace, expectedMs: 2 * FAR_WAY_MS + 30 };
+    return { box: relayPlace, expectedMs: 2 * REMOTE_LATENCY_MS + 30 };
   }
 
   noteQueue(index: string, queueMs: number): number {
-    return this.#options.box.noteQueue(index, queueMs);
+    return this.#options.box.recordQueue(index, queueMs);
   }
 
   extraCallsLeft(service: string): number {
@@ -127,79 +127,84 @@
     call: ({ attemptId, leafId, shardIndex }) => {
       const workMs = this.#options.drawWorkMs();
       this.#options.box.send({ leafId, workMs }, (outcome) => {
-        this.take({ kind: "attemptEnded", attemptId, shardIndex, outcome });
+        this.dispatch({ kind: "attemptEnded", attemptId, shardIndex, outcome });
       });
     },
     relay: (effect) => this.#relay(effect),
-    askThrough: ({ box, calls }) => this.#askThrough(box, calls),
+    askThrough: ({ box, calls }) => this.#callThrough(box, calls),
     abandon: () => undefined,
     withdraw: () => undefined,
-    wake: ({ timer, atMs }) => this.#wake(timer, atMs),
+    wake: ({ timer, atMs }) => this.#setTimer(timer, atMs),
     reply: ({ reply }) => this.#options.onReply(reply),
   };
 
-  #relay({ attemptId, box: place, calls, waitLimitMs: patienceMs }: Relay): void {
-    const { box, drawWorkMs, schedule, without } = this.#options;
-    const near = this.#boxAt(place);
-    const notes = new Map(calls.map(({ service, leafId }) => [service, box.noteSent(leafId)]));
-    const back = (run: () => void): void => {
-      schedule.after(FAR_WAY_MS, () => box.whenFree(run));
+  #relay({ attemptId, box: place, calls, waitLimitMs }: Relay): void {
+    const { box, drawWorkMs, schedule, disabled } = this.#options;
+    const relayBox = this.#boxIn(place);
+    const recorders = new Map(
+      calls.map(({ service, leafId }) => [service, box.recordSent(leafId)]),
+    );
+    const returnToBox = (run: () => void): void => {
+      schedule.after(REMOTE_LATENCY_MS, () => box.runWhenIdle(run));
     };
-    schedule.after(FAR_WAY_MS, () => {
-      const order = {
+    schedule.after(REMOTE_LATENCY_MS, () => {
+      const request = {
         services: calls.map(({ service }) => service),
         onParts: (parts: RelayedParts) =>
-          back(() => this.#takeParts(place, { attemptId, parts, notes })),
-        onEnd: () => back(() => this.#endRelay(attemptId, notes)),
+          returnToBox(() => this.#receiveParts(place, { attemptId, parts, recorders })),
+        onEnd: () => returnToBox(() => this.#endRelay(attemptId, recorders)),
       };
-      new ReplayRelay({ schedule, box: near, drawWorkMs, patienceMs, without }, order).start();
+      new ReplayRelay(
+        { schedule, box: relayBox, drawWorkMs, waitLimitMs, disabled },
+        request,
+      ).start();
     });
   }
 
-  #takeParts(place: string, { attemptId, parts, notes }: ArrivedParts): void {
-    notePart(parts, notes);
+  #receiveParts(place: string, { attemptId, parts, recorders }: ReceivedParts): void {
+    recordParts(parts, recorders);
     if (parts.queueMs !== undefined) {
-      this.#options.box.noteTold(place, parts.queueMs);
+      this.#options.box.recordReportedQueue(place, parts.queueMs);
     }
-    this.take({ kind: "partsRelayed", attemptId, parts });
+    this.dispatch({ kind: "partsRelayed", attemptId, parts });
   }
 
-  #endRelay(attemptId: number, notes: LeafNotes): void {
-    for (const note of notes.values()) {
-      note("abandoned");
+  #endRelay(attemptId: number, recorders: CallEndRecorders): void {
+    for (const recordEnd of recorders.values()) {
+      recordEnd("abandoned");
     }
-    this.take({ kind: "attemptEnded", attemptId, outcome: failedPartOutcome("failed") });
+    this.dispatch({ kind: "attemptEnded", attemptId, outcome: failedPartOutcome("failed") });
   }
 
-  #askThrough(place: string, calls: ReadonlyArray<RemoteCall>): void {
+  #callThrough(place: string, calls: ReadonlyArray<RemoteCall>): void {
     const { box, drawWorkMs, schedule } = this.#options;
-    const near = this.#boxAt(place);
+    const relayBox = this.#boxIn(place);
     for (const { attemptId, leafId } of calls) {
-      const note = box.noteSent(leafId);
+      const recordEnd = box.recordSent(leafId);
       const end = (outcome: AttemptOutcome): void => {
-        schedule.after(FAR_WAY_MS, () => {
-          box.whenFree(() => {
-            note(outcome.kind === "answered" ? "answered" : "failed");
-            this.take({ kind: "attemptEnded", attemptId, outcome });
+        schedule.after(REMOTE_LATENCY_MS, () => {
+          box.runWhenIdle(() => {
+            recordEnd(outcome.kind === "answered" ? "answered" : "failed");
+            this.dispatch({ kind: "attemptEnded", attemptId, outcome });
           });
         });
       };
-      schedule.after(FAR_WAY_MS, () => near.send({ leafId, workMs: drawWorkMs() }, end));
+      schedule.after(REMOTE_LATENCY_MS, () => relayBox.send({ leafId, workMs: drawWorkMs() }, end));
     }
   }
 
-  #boxAt(place: string): ReplayBox {
+  #boxIn(place: string): ReplayBox {
     const { box, boxesByRegion, schedule } = this.#options;
     const boxes = boxesByRegion[Number(place)] ?? [];
     return boxes.length === 0 ? box : schedule.pick(boxes);
   }
 
-  /** A later timer of the same name replaces the one before. */
-  #wake(timer: RequestTimer, atMs: number): void {
+  /** Sets a timer; replaces an earlier one of the same name. */
+  #setTimer(timer: RequestTimer, atMs: number): void {
     this.#timers.set(timer, atMs);
     this.#options.schedule.after(atMs - this.nowMs, () => {
       if (this.#timers.get(timer) === atMs) {
-        this.#options.box.whenFree(() => this.take({ kind: "timer", timer }));
+        this.#options.box.runWhenIdle(() => this.dispatch({ kind: "timer", timer }));
       }
     });
   }
@@ -207,8 +212,8 @@
 
 type Relay = Extract<RequestEffect, { readonly kind: "relay" }>;
 
-/** What a lost part says of the leaf that was expected to be asked. */
-const LOST_RESULTS: Readonly<Record<FailedPart, "full" | "failed">> = {
+/** Result recorded for the leaf that was expected to be called, by reason of the failed part. */
+const RESULT_BY_FAILURE: Readonly<Record<FailedPart, "full" | "failed">> = {
   declined: "full",
   refused: "full",
   failed: "failed",
@@ -216,21 +221,21 @@
   blocked: "full",
 };
 
-/** Notes how the call to the leaf of a service ended. */
-type LeafNotes = ReadonlyMap<string, ReturnType<ReplayBox["noteSent"]>>;
+/** Functions that record how the call to a leaf ended, by service. */
+type CallEndRecorders = ReadonlyMap<string, ReturnType<ReplayBox["recordSent"]>>;
 
-/** Parts that another box has handed over. */
-interface ArrivedParts {
+/** Results of shards received from another box. */
+interface ReceivedParts {
   readonly attemptId: number;
   readonly parts: RelayedParts;
-  readonly notes: LeafNotes;
+  readonly recorders: CallEndRecorders;
 }
 
-function notePart(parts: RelayedParts, notes: LeafNotes): void {
+function recordParts(parts: RelayedParts, recorders: CallEndRecorders): void {
   for (const service of parts.signatures.keys()) {
-    notes.get(service)?.("answered");
+    recorders.get(service)?.("answered");
   }
-  for (const [service, why] of parts.failed) {
-    notes.get(service)?.(LOST_RESULTS[why]);
+  for (const [service, reason] of parts.failed) {
+    recorders.get(service)?.(RESULT_BY_FAILURE[reason]);
   }
 }
--- a/replay/replay_relay.ts
+++ b/replay/replay_relay.ts
@@ -1,97 +1,99 @@
 /**
- * A box that asks leafs near it for another one, in virtual time.
+ * Relay requests in virtual time: a box calls its local leafs on behalf of another box.
  *
  * @module
  */
 import type { AttemptOutcome, FailedPart, RelayedParts } from "../request/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
-import type { Without } from "./mechanism.js";
+import type { DisabledMechanisms } from "./mechanism.js";
 import type { ReplayBox } from "./replay_box.js";
 
-/** What the relay runs on. */
+/** Options of a {@linkcode ReplayRelay}. */
 export interface ReplayRelayOptions {
   readonly schedule: Schedule;
   readonly box: ReplayBox;
   readonly drawWorkMs: () => number;
-  /** Longest time before what has come in is handed over, in milliseconds. */
-  readonly patienceMs: number;
-  readonly without: Without;
+  /** Maximum time before the results received so far are sent, in milliseconds. */
+  readonly waitLimitMs: number;
+  readonly disabled: DisabledMechanisms;
 }
 
-/** What is asked for, and who is told. */
-export interface ReplayOrder {
+/** A relay request. */
+export interface ReplayRelayRequest {
   readonly services: ReadonlyArray<string>;
+  /** Called with each batch of results. */
   readonly onParts: (parts: RelayedParts) => void;
+  /** Called once when all calls have ended. */
   readonly onEnd: () => void;
 }
 
 const NO_RECORDS = Buffer.alloc(0);
 
-const NONE_LOST: ReadonlyMap<string, FailedPart> = new Map();
+const NO_FAILURES: ReadonlyMap<string, FailedPart> = new Map();
 
-const LOST_BY_OUTCOME: Readonly<Record<AttemptOutcome["kind"], FailedPart | undefined>> = {
+const FAILURE_BY_OUTCOME: Readonly<Record<AttemptOutcome["kind"], FailedPart | undefined>> = {
   answered: undefined,
   refused: "refused",
   failed: "failed",
 };
 
-/** Times its usual time that a leaf has before the first parts are handed over, as in the box daemon. */
-const PATIENCE_FACTOR = 1.8;
+/** Factor on the typical latency of leafs after which the first results are sent, as in the box daemon. */
+const WAIT_LIMIT_FACTOR = 1.8;
 
-/** Added to that, in milliseconds. */
-const PATIENCE_MS = 4;
+/** Added to that time, in milliseconds. */
+const WAIT_LIMIT_MARGIN_MS = 4;
 
-/** One order under way. */
+/** A relay request in progress. */
 export class ReplayRelay {
   readonly #options: ReplayRelayOptions;
-  readonly #order: ReplayOrder;
-  #waiting: Array<string> = [];
+  readonly #request: ReplayRelayRequest;
+  #pending: Array<string> = [];
   #queuesMs: Array<number> = [];
   #openCount = 0;
-  #usualMs = 0;
+  #maxTypicalLatencyMs = 0;
   #hasFlushed = false;
 
   /**
-   * @param options - What the relay runs on.
-   * @param order - What is asked for, and who is told.
+   * @param options - Options of the relay.
+   * @param request - Services to call, and receivers of the results.
    */
-  constructor(options: ReplayRelayOptions, order: ReplayOrder) {
+  constructor(options: ReplayRelayOptions, request: ReplayRelayRequest) {
     this.#options = options;
-    this.#order = order;
+    this.#request = request;
   }
 
-  /** Asks near leafs for the parts of the order's services. */
+  /** Calls a local leaf of each requested service. */
   start(): void {
-    this.#openCount = this.#order.services.length;
-    for (const service of this.#order.services) {
-      this.#ask(service);
+    this.#openCount = this.#request.services.length;
+    for (const service of this.#request.services) {
+      this.#call(service);
     }
-    const usualMs = this.#usualMs * PATIENCE_FACTOR + PATIENCE_MS;
-    const patienceMs = Math.min(this.#options.patienceMs, usualMs);
-    this.#options.schedule.after(patienceMs, () => this.#flush());
+    const typicalLimitMs = this.#maxTypicalLatencyMs * WAIT_LIMIT_FACTOR + WAIT_LIMIT_MARGIN_MS;
+    const waitLimitMs = Math.min(this.#options.waitLimitMs, typicalLimitMs);
+    this.#options.schedule.after(waitLimitMs, () => this.#flush());
   }
 
-  #ask(service: string): void {
+  #call(service: string): void {
     const { box, drawWorkMs } = this.#options;
-    const chosen = box.choose(service, { excluded: new Set(), isOnlyNear: true });
+    const chosen = box.chooseLeaf(service, { excluded: new Set(), localOnly: true });
     if (chosen === undefined) {
-      this.#tell([], new Map([[service, "declined"]]));
+      this.#sendParts([], new Map([[service, "declined"]]));
       this.#endOne();
       return;
     }
-    this.#usualMs = Math.max(this.#usualMs, chosen.typicalLatencyMs);
+    this.#maxTypicalLatencyMs = Math.max(this.#maxTypicalLatencyMs, chosen.typicalLatencyMs);
     this.#queuesMs.push(chosen.queueMs);
     box.send({ leafId: chosen.leaf.leafId, workMs: drawWorkMs() }, (outcome) => {
-      this.#take(service, outcome);
+      this.#handleOutcome(service, outcome);
     });
   }
 
-  #take(service: string, { kind }: AttemptOutcome): void {
-    const why = LOST_BY_OUTCOME[kind];
-    if (why === undefined) {
-      this.#waiting.push(service);
-    } else if (!this.#options.without.has("told-losses")) {
-      this.#tell([], new Map([[service, why]]));
+  #handleOutcome(service: string, { kind }: AttemptOutcome): void {
+    const failure = FAILURE_BY_OUTCOME[kind];
+    if (failure === undefined) {
+      this.#pending.push(service);
+    } else if (!this.#options.disabled.has("told-losses")) {
+      this.#sendParts([], new Map([[service, failure]]));
     }
     if (this.#hasFlushed) {
       this.#flush();
@@ -103,28 +105,28 @@
     this.#openCount -= 1;
     if (this.#openCount === 0) {
       this.#flush();
-      this.#order.onEnd();
+      this.#request.onEnd();
     }
   }
 
   #flush(): void {
     this.#hasFlushed = true;
-    const parts = this.#waiting;
-    this.#waiting = [];
-    this.#tell(parts, NONE_LOST);
+    const parts = this.#pending;
+    this.#pending = [];
+    this.#sendParts(parts, NO_FAILURES);
   }
 
-  #tell(services: ReadonlyArray<string>, lost: ReadonlyMap<string, FailedPart>): void {
-    if (services.length + lost.size === 0) {
+  #sendParts(services: ReadonlyArray<string>, failed: ReadonlyMap<string, FailedPart>): void {
+    if (services.length + failed.size === 0) {
       return;
     }
     const signatures = new Map(services.map((service) => [service, `x ${service}`]));
-    const told = this.#queuesMs.length === 0 ? {} : { queueMs: middleOf(this.#queuesMs) };
+    const queue = this.#queuesMs.length === 0 ? {} : { queueMs: upperMedian(this.#queuesMs) };
     this.#queuesMs = [];
-    this.#order.onParts({ signatures, records: NO_RECORDS, failed: lost, ...told });
+    this.#request.onParts({ signatures, records: NO_RECORDS, failed, ...queue });
   }
 }
 
-function middleOf(values: ReadonlyArray<number>): number {
+function upperMedian(values: ReadonlyArray<number>): number {
   return values.toSorted((a, b) => a - b)[Math.floor(values.length / 2)] ?? 0;
 }
--- a/replay/run_replay.ts
+++ b/replay/run_replay.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a load pattern: callers by seeded arrivals, boxes with the decision core, leafs as queues.
+ * Runs a load pattern: seeded arrivals of queries, boxes with the decision core, and leafs as queues.
  *
  * @module
  */
@@ -9,66 +9,66 @@
 import type { Reply, RequestTerms } from "../request/mod.js";
 import type { Route } from "../routing/mod.js";
 import { Schedule } from "../virtual_time/mod.js";
-import { Account, type TryEnd } from "./account.js";
 import type { LoadPattern, QueryKind } from "./load_pattern.js";
-import type { Without } from "./mechanism.js";
+import type { DisabledMechanisms } from "./mechanism.js";
 import { ReplayBox } from "./replay_box.js";
 import { ReplayLeaf } from "./replay_leaf.js";
 import { ReplayQuery } from "./replay_query.js";
+import { type AttemptResult, ReplayScore } from "./replay_score.js";
 
-/** Regions of a pattern. */
+/** Number of regions of every pattern. */
 const REGIONS = 3;
 
-/** Spread of the time that leafs work, as the standard deviation of its logarithm. */
-const WORK_SPREAD = 0.35;
+/** Standard deviation of the logarithm of processing time. */
+const WORK_LOG_STDDEV = 0.35;
 
-/** Added to the seed of a run for the draws of callers and of leafs. */
-const CALLER_SEEDS = 10_000;
-const LEAF_SEEDS = 20_000;
+/** Added to the seed of a run for the random draws of callers and of leafs. */
+const CALLER_SEED_OFFSET = 10_000;
+const LEAF_SEED_OFFSET = 20_000;
 
-/** How a run is made. */
+/** Options of {@linkcode runReplay}. */
 export interface ReplayOptions {
   readonly seed: number;
-  /** Mechanisms that the run goes without; none by default. */
-  readonly without?: Without;
+  /** Mechanisms to disable; none by default. */
+  readonly disabled?: DisabledMechanisms;
 }
 
 /**
- * Runs a pattern.
+ * Runs a load pattern.
  *
- * @param pattern - The pattern.
- * @param options - Seed, and what the run goes without.
- * @returns What callers got.
+ * @param pattern - The load pattern.
+ * @param options - Seed and disabled mechanisms.
+ * @returns Score of the run.
  */
 export function runReplay(
   pattern: LoadPattern,
-  { seed, without = new Set() }: ReplayOptions,
-): Account {
-  const run = new ReplayRun(pattern, { seed, without });
+  { seed, disabled = new Set() }: ReplayOptions,
+): ReplayScore {
+  const run = new ReplayRun(pattern, { seed, disabled });
   return run.run();
 }
 
-/** One run; leafs and callers are the same for the same seed, whatever the run goes without. */
+/** One run. Leafs and callers are the same for the same seed, whichever mechanisms are disabled. */
 class ReplayRun {
   readonly #pattern: LoadPattern;
-  readonly #without: Without;
+  readonly #disabled: DisabledMechanisms;
   readonly #schedule: Schedule;
-  /** Draws of their own for callers and for leafs, so that runs with other mechanisms meet the same ones. */
-  readonly #callerDraws: Schedule;
-  readonly #leafDraws: Schedule;
-  readonly #account = new Account();
+  /** Separate random sources for callers and leafs, so that disabling a mechanism does not change them. */
+  readonly #callerRandom: Schedule;
+  readonly #leafRandom: Schedule;
+  readonly #score = new ReplayScore();
   readonly #services: ReadonlyArray<string>;
   readonly #boxesByRegion: ReadonlyArray<ReadonlyArray<ReplayBox>>;
   readonly #routes: ReadonlyMap<string, Route>;
   readonly #allowancesMs: ReadonlyMap<string, number>;
   #nextRequest = 1;
 
-  constructor(pattern: LoadPattern, { seed, without }: Required<ReplayOptions>) {
+  constructor(pattern: LoadPattern, { seed, disabled }: Required<ReplayOptions>) {
     this.#pattern = pattern;
-    this.#without = without;
+    this.#disabled = disabled;
     this.#schedule = new Schedule(seed);
-    this.#callerDraws = new Schedule(seed + CALLER_SEEDS);
-    this.#leafDraws = new Schedule(seed + LEAF_SEEDS);
+    this.#callerRandom = new Schedule(seed + CALLER_SEED_OFFSET);
+    this.#leafRandom = new Schedule(seed + LEAF_SEED_OFFSET);
     this.#services = Array.from({ length: pattern.shards }, (_, index) => `shard ${index}`);
     this.#boxesByRegion = this.#makeBoxes();
     const routes = pattern.kinds.map((kind) => routeOf(kind, this.#services));
@@ -78,29 +78,29 @@
     );
   }
 
-  run(): Account {
-    const { lengthMs, restart } = this.#pattern;
+  run(): ReplayScore {
+    const { durationMs, restart } = this.#pattern;
     this.#schedule.after(0, () => this.#arrive());
     if (restart !== undefined) {
       this.#schedule.after(restart.atMs, () => {
         for (const box of this.#boxesByRegion.flat()) {
-          box.forget();
+          box.reset();
         }
       });
     }
-    while (this.#schedule.nowMs < 2 * lengthMs && this.#schedule.runNext()) {
-      // All is done by what was planned.
+    while (this.#schedule.nowMs < 2 * durationMs && this.#schedule.runNext()) {
+      // The scheduled functions do the work.
     }
-    return this.#account;
+    return this.#score;
   }
 
   #makeBoxes(): ReadonlyArray<ReadonlyArray<ReplayBox>> {
-    const { boxesInRegion, copies = 2, leafRegions } = this.#pattern;
-    const { slackCalls, slackSharers, slots } = this.#pattern;
+    const { boxesPerRegion, replicas = 2, leafRegions } = this.#pattern;
+    const { slackCalls, boxesSharingSlack, slots } = this.#pattern;
     const leafsByService = new Map<string, ReadonlyArray<Leaf>>();
     const models = new Map<string, ReplayLeaf>();
     for (const [index, service] of this.#services.entries()) {
-      const leafs = Array.from({ length: copies }, (_, copy) => {
+      const leafs = Array.from({ length: replicas }, (_, copy) => {
         const region = leafRegions[(index + copy) % leafRegions.length] ?? 0;
         return leafOf(service, { copy, region, slots });
       });
@@ -110,72 +110,72 @@
       }
     }
     return Array.from({ length: REGIONS }, (_, region) => {
-      return Array.from({ length: boxesInRegion }, () => {
-        const given = { slackSharers, slackCalls, leafsByService, models };
+      return Array.from({ length: boxesPerRegion }, () => {
+        const shared = { boxesSharingSlack, slackCalls, leafsByService, models };
         return new ReplayBox({
-          ...{ schedule: this.#schedule, region, without: this.#without },
-          ...given,
+          ...{ schedule: this.#schedule, region, disabled: this.#disabled },
+          ...shared,
         });
       });
     });
   }
 
   #makeLeaf(leafId: string): ReplayLeaf {
-    const { faults, pauseEveryMs, pauseMs, slots, spells } = this.#pattern;
+    const { faults, pauseIntervalMs, pauseMs, slots, slowPeriods } = this.#pattern;
     const schedule = this.#schedule;
-    const struck = faults.filter(({ leafShare }) => this.#leafDraws.chance(leafShare));
-    const pausesAtMs = this.#leafDraws.int(0, pauseEveryMs);
+    const leafFaults = faults.filter(({ leafShare }) => this.#leafRandom.chance(leafShare));
+    const pauseOffsetMs = this.#leafRandom.int(0, pauseIntervalMs);
     return new ReplayLeaf({
-      ...{ schedule, slots, pauseMs, pauseEveryMs, pausesAtMs, faults: struck },
-      spells: spells && { ...spells, seed: leafId },
+      ...{ schedule, slots, pauseMs, pauseIntervalMs, pauseOffsetMs, faults: leafFaults },
+      slowPeriods: slowPeriods && { ...slowPeriods, seed: leafId },
     });
   }
 
   #arrive(): void {
-    const { bursts, lengthMs, perSecond } = this.#pattern;
+    const { bursts, durationMs, arrivalsPerSecond } = this.#pattern;
     const now = this.#schedule.nowMs;
-    if (now >= lengthMs) {
+    if (now >= durationMs) {
       return;
     }
     const kind = this.#drawKind();
-    this.#account.ask(kind);
-    this.#try(kind, { firstAtMs: now, isRetry: false });
+    this.#score.recordArrival(kind);
+    this.#startAttempt(kind, { firstAtMs: now, isRetry: false });
     const active = bursts.filter(({ fromMs, untilMs }) => fromMs <= now && now < untilMs);
     const factor = Math.max(1, ...active.map((burst) => burst.factor));
-    const draw = uniform(this.#callerDraws);
-    this.#schedule.after((-Math.log(draw) * 1_000) / (perSecond * factor), () => {
+    const draw = uniform(this.#callerRandom);
+    this.#schedule.after((-Math.log(draw) * 1_000) / (arrivalsPerSecond * factor), () => {
       this.#arrive();
     });
   }
 
-  #try(kind: QueryKind, { firstAtMs, isRetry }: CallerTry): void {
+  #startAttempt(kind: QueryKind, { firstAtMs, isRetry }: CallerAttempt): void {
     const box = this.#schedule.pick(this.#boxesByRegion.flat());
     const startedAtMs = this.#schedule.nowMs;
-    this.#coldWork(box);
-    box.whenFree(() => {
+    this.#simulateWarmUp(box);
+    box.runWhenIdle(() => {
       for (const service of this.#services) {
         box.credit(service);
       }
       const query = new ReplayQuery({
         ...{ schedule: this.#schedule, box, boxesByRegion: this.#boxesByRegion },
-        ...{ without: this.#without, services: this.#services },
+        ...{ disabled: this.#disabled, services: this.#services },
         terms: this.#termsOf(kind, startedAtMs),
         drawWorkMs: () => this.#drawWorkMs(kind),
         onReply: (reply) => {
           const now = this.#schedule.nowMs;
-          const heldMs = now - startedAtMs;
-          this.#replied(kind, reply, { firstAtMs, isRetry, heldMs });
+          const attemptMs = now - startedAtMs;
+          this.#handleReply(kind, reply, { firstAtMs, isRetry, durationMs: attemptMs });
         },
       });
-      query.take({ kind: "started" });
+      query.dispatch({ kind: "started" });
     });
   }
 
-  #coldWork(box: ReplayBox): void {
+  #simulateWarmUp(box: ReplayBox): void {
     const { restart } = this.#pattern;
     const sinceMs = this.#schedule.nowMs - (restart?.atMs ?? Number.POSITIVE_INFINITY);
-    if (restart !== undefined && sinceMs >= 0 && sinceMs < restart.coldForMs) {
-      box.compute(restart.busyMs * (1 - sinceMs / restart.coldForMs));
+    if (restart !== undefined && sinceMs >= 0 && sinceMs < restart.warmUpMs) {
+      box.compute(restart.busyMs * (1 - sinceMs / restart.warmUpMs));
     }
   }
 
@@ -186,15 +186,25 @@
       ...{ requestId: String(this.#nextRequest++), route, arrivedAtMs, finishShare: 1 },
       ...{ objectiveAtMs: arrivedAtMs + kind.aimMs, deadlineAtMs: arrivedAtMs + kind.deadlineMs },
       maxAttempts: route.maxAttempts,
-      maxQueueMs: this.#without.has("refusals") ? Number.POSITIVE_INFINITY : allowanceMs,
+      maxQueueMs: this.#disabled.has("refusals") ? Number.POSITIVE_INFINITY : allowanceMs,
     };
   }
 
-  /** A caller that was not served comes back once: when it was told to, or at once. */
-  #replied(kind: QueryKind, reply: Reply, { firstAtMs, heldMs, isRetry }: EndedTry): void {
-    const sinceFirstMs = this.#schedule.nowMs - firstAtMs;
-    const end = (endKind: TryEnd["kind"], coverage: number): void => {
-      this.#account.end(kind, { kind: endKind, coverage, sinceFirstMs, heldMs, isRetry });
+  /** Records the result; an unanswered first attempt is retried once, after the reply's delay if it was refused. */
+  #handleReply(
+    kind: QueryKind,
+    reply: Reply,
+    { firstAtMs, durationMs: attemptMs, isRetry }: EndedAttempt,
+  ): void {
+    const totalMs = this.#schedule.nowMs - firstAtMs;
+    const end = (endKind: AttemptResult["kind"], coverage: number): void => {
+      this.#score.recordResult(kind, {
+        kind: endKind,
+        coverage,
+        totalMs,
+        durationMs: attemptMs,
+        isRetry,
+      });
     };
     if (reply.kind === "merged") {
       end("answered", 1 - reply.missingParts / this.#services.length);
@@ -205,43 +215,45 @@
       end(isRefused ? "refused" : "failed", 0);
       return;
     }
-    const afterMs = isRefused ? reply.retryAfterMs : 0;
-    this.#schedule.after(afterMs, () => this.#try(kind, { firstAtMs, isRetry: true }));
+    const retryAfterMs = isRefused ? reply.retryAfterMs : 0;
+    this.#schedule.after(retryAfterMs, () =>
+      this.#startAttempt(kind, { firstAtMs, isRetry: true }),
+    );
   }
 
   #drawKind(): QueryKind {
-    let left = uniform(this.#callerDraws);
+    let remaining = uniform(this.#callerRandom);
     for (const kind of this.#pattern.kinds) {
-      left -= kind.share;
-      if (left <= 0) {
+      remaining -= kind.share;
+      if (remaining <= 0) {
         return kind;
       }
     }
     return this.#schedule.pick(this.#pattern.kinds);
   }
 
-  /** Log-normal around the kind's mean (Box and Muller, 1958). */
+  /** Draws a processing time, log-normal around the kind's mean (Box and Muller, 1958). */
   #drawWorkMs({ workMs }: QueryKind): number {
     const radius = Math.sqrt(-2 * Math.log(uniform(this.#schedule)));
     const normal = radius * Math.cos(2 * Math.PI * uniform(this.#schedule));
-    return workMs * Math.exp(WORK_SPREAD * normal - WORK_SPREAD ** 2 / 2);
+    return workMs * Math.exp(WORK_LOG_STDDEV * normal - WORK_LOG_STDDEV ** 2 / 2);
   }
 }
 
-/** Draws a number between 0 and 1, neither included. */
-function uniform(draws: Schedule): number {
-  return draws.int(1, 1_000_000) / 1_000_001;
+/** Draws a number between 0 and 1, both exclusive. */
+function uniform(random: Schedule): number {
+  return random.int(1, 1_000_000) / 1_000_001;
 }
 
-/** A caller's try that begins. */
-interface CallerTry {
+/** A caller's attempt that starts. */
+interface CallerAttempt {
   readonly firstAtMs: number;
   readonly isRetry: boolean;
 }
 
-/** A caller's try that has ended. */
-interface EndedTry extends CallerTry {
-  readonly heldMs: number;
+/** A caller's attempt that has ended. */
+interface EndedAttempt extends CallerAttempt {
+  readonly durationMs: number;
 }
 
 function leafOf(
@@ -256,10 +268,10 @@
 }
 
 function routeOf(kind: QueryKind, shards: ReadonlyArray<string>): Route {
-  const { aimMs, deadlineMs, leastShare, name, priorityRank } = kind;
+  const { aimMs, deadlineMs, minCoverage, name, priorityRank } = kind;
   return {
     ...{ name, host: "h", prefix: `/${name}/`, repeatable: true, maxAttempts: 2 },
     ...{ timeoutMs: deadlineMs, aimMs, priorityRank, homes: [] },
-    target: { kind: "gather", shards, topRecords: 1, leastShare },
+    target: { kind: "gather", shards, topRecords: 1, leastShare: minCoverage },
   };
 }
