--- a/compare/comparison.ts
+++ b/compare/comparison.ts
@@ -1,5 +1,5 @@
 /**
- * What is compared: ways of one decision, each a checkout of its own, on the same sites, days and seeds.
+ * Comparisons of several variants of a decision, each with its own checkout, on the same sites, days and seeds.
  *
  * @module
  */
@@ -10,27 +10,27 @@
 const NAME = z.string().check(z.regex(/^[\w.-]+$/));
 
 const COMPARISON = z.object({
-  /** The decision that the ways differ in. */
+  /** Name of the decision that the variants implement differently. */
   decision: z.string(),
-  /** Folder of each way's checkout, by the way's name. */
+  /** Checkout folder of each variant, by its name. */
   ways: z.record(NAME, z.string()),
-  /** Site file, by the site's name. */
+  /** Site files, by the site's name. */
   sites: z.record(NAME, z.string()),
-  /** Names of days, or files of own ones. */
+  /** Names of built-in simulated days, or files that describe one. */
   days: z.array(z.string()).check(z.minLength(1)),
-  /** Seeds of varied days; 0 plays a day as it is written. */
+  /** Seeds for random variations of each day; 0 runs the day unchanged. */
   seeds: z._default(z.array(z.int().check(z.minimum(0))), [0]),
-  /** Plays at a time. */
+  /** Maximum number of concurrent runs. */
   jobs: z._default(z.int().check(z.minimum(1), z.maximum(8)), 1),
-  /** Further arguments of each play. */
+  /** Additional arguments for each run of the program. */
   extra: z._default(z.array(z.string()), []),
 });
 
-/** A comparison as its file describes it. */
+/** A comparison, as described by its file. */
 export type Comparison = Readonly<z.infer<typeof COMPARISON>>;
 
-/** One play of a comparison. */
-export interface Play {
+/** One run of a comparison: a variant on a site, day and seed. */
+export interface Run {
   readonly way: string;
   readonly site: string;
   readonly day: string;
@@ -38,10 +38,10 @@
 }
 
 /**
- * Reads a comparison.
+ * Parses the description of a comparison.
  *
- * @param text - TOML.
- * @returns The comparison, or one sentence on the first fault.
+ * @param text - Description in TOML.
+ * @returns The comparison, or a message about the first error.
  */
 export function parseComparison(text: string): Result<Comparison, string> {
   let data: unknown;
@@ -57,19 +57,19 @@
     return err(`Cannot accept comparison field "${field}": ${issue?.message ?? "not valid"}`);
   }
   if (Object.keys(parsed.data.ways).length < 2) {
-    return err("Cannot compare: at least two ways are wanted");
+    return err("Cannot compare: at least two ways are required");
   }
   return ok(parsed.data);
 }
 
 /**
- * Lists the plays of a comparison, those that are paired one after the other, so that a comparison that is broken off
- * has whole pairs.
+ * Lists the runs of a comparison. Runs of different variants on the same site, day and seed follow each other, so that
+ * an interrupted comparison has complete pairs.
  *
  * @param comparison - The comparison.
- * @returns The plays.
+ * @returns The runs, in the order to execute them.
  */
-export function playsOf({ days, seeds, sites, ways }: Comparison): ReadonlyArray<Play> {
+export function listRuns({ days, seeds, sites, ways }: Comparison): ReadonlyArray<Run> {
   return Object.keys(sites).flatMap((site) => {
     return days.flatMap((day) => {
       return seeds.flatMap((seed) => {
@@ -80,11 +80,11 @@
 }
 
 /**
- * Names a play, so that one that has been played is found again.
+ * Builds the key that identifies a run among stored results.
  *
- * @param play - The play.
- * @returns The name.
+ * @param run - The run.
+ * @returns The key.
  */
-export function keyOf({ way, site, day, seed }: Play): string {
+export function runKey({ way, site, day, seed }: Run): string {
   return [way, site, day, seed].join(" ");
 }
--- a/compare/comparison_report.ts
+++ b/compare/comparison_report.ts
@@ -1,66 +1,66 @@
 /**
- * Tables and a plot of a comparison.
+ * Renders the results of a comparison as tables and a plot.
  *
  * @module
  */
 import { parse, View } from "vega";
 import { compile, type TopLevelSpec } from "vega-lite";
-import type { Play } from "./comparison.js";
+import type { Run } from "./comparison.js";
+import type { DayReport } from "./day_report.js";
 import { pairedDifference } from "./paired_difference.js";
-import type { PlayedDay } from "./played_day.js";
 
-/** A play and what it came to. */
-export interface PlayResult extends Play, PlayedDay {}
+/** A run with its result. */
+export interface RunResult extends Run, DayReport {}
 
 /**
- * Writes the tables: worth of each way by site and day, and what each differs from the first one by, by site and kind.
+ * Renders the tables: worth of each run, and differences of each variant from the first one, by site and kind of request.
  *
- * @param decision - What the ways differ in.
- * @param results - What has been played.
- * @returns Markdown.
+ * @param decision - Name of the decision that is compared.
+ * @param results - Results of the runs.
+ * @returns Tables in Markdown.
  */
-export function comparisonReport(decision: string, results: ReadonlyArray<PlayResult>): string {
-  const [first = "", ...others] = unique(results.map(({ way }) => way));
+export function comparisonReport(decision: string, results: ReadonlyArray<RunResult>): string {
+  const [baseline = "", ...others] = unique(results.map(({ way }) => way));
   const head = [`# ${decision}`, "", "| site | day | seed | way | worth | entry |"];
-  const plays = results.map(({ site, day, seed, way, worth, isBroken, entry }) => {
+  const runs = results.map(({ site, day, seed, way, worth, isBroken, entry }) => {
     const shown = isBroken ? `${worth.toFixed(3)}, rule broken` : worth.toFixed(3);
     return `| ${site} | ${day} | ${seed} | ${way} | ${shown} | ${entry} |`;
   });
   const sites = [...unique(results.map(({ site }) => site)), ALL_SITES];
-  const differences = others.flatMap((way) => {
-    return sites.flatMap((site) => differenceRows(results, { first, way, site }));
+  const differences = others.flatMap((variant) => {
+    return sites.flatMap((site) => differenceRows(results, { baseline, variant, site }));
   });
   return [
-    ...[...head, "|---|---|---|---|---|---|", ...plays, ""],
-    `| way, against ${first} | site | of | pairs | mean | spread | |`,
+    ...[...head, "|---|---|---|---|---|---|", ...runs, ""],
+    `| way, against ${baseline} | site | of | pairs | mean | spread | |`,
     ...["|---|---|---|---|---|---|---|", ...differences, ""],
   ].join("\n");
 }
 
 const ALL_SITES = "all";
 
-interface ComparedWays {
-  readonly first: string;
-  readonly way: string;
+interface ComparedVariants {
+  readonly baseline: string;
+  readonly variant: string;
   readonly site: string;
 }
 
 function differenceRows(
-  results: ReadonlyArray<PlayResult>,
-  { first, way, site }: ComparedWays,
+  results: ReadonlyArray<RunResult>,
+  { baseline, variant, site }: ComparedVariants,
 ): ReadonlyArray<string> {
   const pairs = results
-    .filter((result) => result.way === way && (site === ALL_SITES || result.site === site))
+    .filter((result) => result.way === variant && (site === ALL_SITES || result.site === site))
     .flatMap((result) => {
-      const other = results.find((each) => each.way === first && isSameDay(each, result));
+      const other = results.find((each) => each.way === baseline && isSameScenario(each, result));
       return other === undefined ? [] : [{ other, result }];
     });
   const kinds = unique(pairs.flatMap(({ result }) => Object.keys(result.worthByKind)));
-  const row = (of: string, differences: ReadonlyArray<number>): string => {
+  const row = (metric: string, differences: ReadonlyArray<number>): string => {
     const { pairs: count, mean, spread, verdict } = pairedDifference(differences);
-    return `| ${way} | ${site} | ${of} | ${count} | ${mean.toFixed(3)} | ${spread.toFixed(3)} | ${verdict} |`;
+    return `| ${variant} | ${site} | ${metric} | ${count} | ${mean.toFixed(3)} | ${spread.toFixed(3)} | ${verdict} |`;
   };
-  const whole = row(
+  const overall = row(
     "worth",
     pairs.map(({ other, result }) => result.worth - other.worth),
   );
@@ -72,10 +72,10 @@
       }),
     );
   });
-  return [whole, ...(site === ALL_SITES ? [] : byKind)];
+  return [overall, ...(site === ALL_SITES ? [] : byKind)];
 }
 
-function isSameDay(one: Play, other: Play): boolean {
+function isSameScenario(one: Run, other: Run): boolean {
   return one.site === other.site && one.day === other.day && one.seed === other.seed;
 }
 
@@ -84,15 +84,15 @@
 }
 
 /**
- * Draws the worth of each way by site: one mark a play.
+ * Plots the worth of each variant by site, with one point per run.
  *
- * @param decision - What the ways differ in.
- * @param results - What has been played.
- * @returns SVG.
+ * @param decision - Name of the decision that is compared.
+ * @param results - Results of the runs.
+ * @returns The plot in SVG.
  */
 export async function comparisonPlot(
   decision: string,
-  results: ReadonlyArray<PlayResult>,
+  results: ReadonlyArray<RunResult>,
 ): Promise<string> {
   const spec: TopLevelSpec = {
     title: decision,
--- a/compare/main.ts
+++ b/compare/main.ts
@@ -1,5 +1,5 @@
 /**
- * Compares ways of one decision.
+ * Compares variants of a decision.
  *
  *     npm run compare -- --program PATH --comparison FILE [--out FOLDER]
  *
@@ -34,7 +34,7 @@
 
 const { comparison: path, out, program } = readOptions();
 if (path === undefined || program === undefined) {
-  fail("Cannot compare: --program and --comparison are wanted");
+  fail("Cannot compare: --program and --comparison are required");
 }
 const parsed = parseComparison(readFileSync(path, "utf8"));
 if (parsed.isErr()) {
@@ -45,7 +45,7 @@
 const results = await runComparison(parsed.value, {
   program,
   resultsPath: join(out, "results.jsonl"),
-  onPlayed: (line) => process.stdout.write(`${line}\n`),
+  onProgress: (line) => process.stdout.write(`${line}\n`),
 });
 const report = comparisonReport(decision, results);
 writeFileSync(join(out, "report.md"), report);
--- a/compare/paired_difference.ts
+++ b/compare/paired_difference.ts
@@ -1,10 +1,10 @@
 /**
- * Whether one way is better than another, from pairs of plays on the same day and seed.
+ * Decides whether one variant is better than another, from pairs of runs on the same day and seed.
  *
  * @module
  */
 
-/** What the pairs show. */
+/** Statistics of paired differences. */
 export interface PairedDifference {
   readonly pairs: number;
   /** Mean of the differences. */
@@ -14,39 +14,36 @@
   readonly verdict: Verdict;
 }
 
-/** What can be said of two ways. */
+/** Verdict on two variants. */
 export type Verdict = "better" | "worse" | "no difference beyond the spread" | "too few pairs";
 
-/**
- * Differences below this are noise whatever their spread: the same code played twice on the same day differs by as much,
- * as processor time is measured.
- */
-const NOISE = 0.03;
+/** Smallest significant mean difference: runs of the same code differ, as processor time varies. */
+const NOISE_FLOOR = 0.03;
 
-/** Standard errors that a mean must lie away from 0: at five pairs some 95 of 100 chance results lie within. */
+/** Standard errors by which a mean must differ from 0; about the 95 % confidence interval for five pairs. */
 const STANDARD_ERRORS = 2.5;
 
-const LEAST_PAIRS = 2;
+const MIN_PAIRS = 2;
 
 /**
- * Compares pairs.
+ * Computes statistics and a verdict from paired differences.
  *
- * @param differences - Worth of the one way less that of the other, for each pair.
- * @returns What they show.
+ * @param differences - Worth of the first variant minus that of the second, for each pair.
+ * @returns Statistics and verdict.
  */
 export function pairedDifference(differences: ReadonlyArray<number>): PairedDifference {
   const pairs = differences.length;
   const mean = pairs === 0 ? 0 : differences.reduce((sum, each) => sum + each, 0) / pairs;
   const squares = differences.reduce((sum, each) => sum + (each - mean) ** 2, 0);
-  const spread = pairs < LEAST_PAIRS ? 0 : Math.sqrt(squares / (pairs - 1));
+  const spread = pairs < MIN_PAIRS ? 0 : Math.sqrt(squares / (pairs - 1));
   return { pairs, mean, spread, verdict: verdictOf({ pairs, mean, spread }) };
 }
 
 function verdictOf({ pairs, mean, spread }: Omit<PairedDifference, "verdict">): Verdict {
-  if (pairs < LEAST_PAIRS) {
+  if (pairs < MIN_PAIRS) {
     return "too few pairs";
   }
-  const margin = Math.max(NOISE, (STANDARD_ERRORS * spread) / Math.sqrt(pairs));
+  const margin = Math.max(NOISE_FLOOR, (STANDARD_ERRORS * spread) / Math.sqrt(pairs));
   if (Math.abs(mean) <= margin) {
     return "no difference beyond the spread";
   }
--- a/compare/run_comparison.ts
+++ b/compare/run_comparison.ts
@@ -1,67 +1,67 @@
 /**
- * Plays what a comparison asks for and has not been played yet; each result is kept at once, so that a comparison goes on
- * where it was broken off.
+ * Executes the runs of a comparison. Each result is stored as soon as it is available, so that an interrupted comparison
+ * resumes with the missing runs.
  *
  * @module
  */
 import { spawn } from "node:child_process";
 import { appendFileSync, existsSync, readFileSync } from "node:fs";
-import { type Comparison, keyOf, type Play, playsOf } from "./comparison.js";
-import type { PlayResult } from "./comparison_report.js";
-import { readPlayedDay } from "./played_day.js";
+import { type Comparison, listRuns, type Run, runKey } from "./comparison.js";
+import type { RunResult } from "./comparison_report.js";
+import { parseDayReport } from "./day_report.js";
 
-/** How a comparison is played. */
+/** Options of {@linkcode runComparison}. */
 export interface RunComparisonOptions {
-  /** The program that plays a day. */
+  /** Path of the program that simulates a day. */
   readonly program: string;
-  /** Where results are kept, one a line. */
+  /** Path of the file of results, with one JSON object per line. */
   readonly resultsPath: string;
-  /** Told of each play that has ended. */
-  readonly onPlayed: (line: string) => void;
+  /** Called with a message when a run has ended. */
+  readonly onProgress: (line: string) => void;
 }
 
 /**
- * Plays a comparison.
+ * Executes those runs of a comparison whose results are not stored yet.
  *
  * @param comparison - The comparison.
- * @param options - How it is played.
- * @returns All results, those of before included, in the order of the plays.
+ * @param options - Program, path of the results, and progress callback.
+ * @returns All results, including those stored earlier, in the order of the runs.
  */
 export async function runComparison(
   comparison: Comparison,
   options: RunComparisonOptions,
-): Promise<ReadonlyArray<PlayResult>> {
-  const results = new Map(readResults(options.resultsPath).map((each) => [keyOf(each), each]));
-  const plays = playsOf(comparison);
-  const left = plays.filter((play) => !results.has(keyOf(play)));
-  async function playNext(): Promise<void> {
-    for (let play = left.shift(); play !== undefined; play = left.shift()) {
-      const result = await playDay(comparison, play, options.program);
+): Promise<ReadonlyArray<RunResult>> {
+  const results = new Map(readResults(options.resultsPath).map((each) => [runKey(each), each]));
+  const runs = listRuns(comparison);
+  const remaining = runs.filter((run) => !results.has(runKey(run)));
+  async function runNext(): Promise<void> {
+    for (let run = remaining.shift(); run !== undefined; run = remaining.shift()) {
+      const result = await runDay(comparison, run, options.program);
       if (result === undefined) {
-        options.onPlayed(`${keyOf(play)}: not played to its end`);
+        options.onProgress(`${runKey(run)}: did not finish`);
       } else {
-        results.set(keyOf(play), result);
+        results.set(runKey(run), result);
         appendFileSync(options.resultsPath, `${JSON.stringify(result)}\n`);
-        options.onPlayed(`${keyOf(play)}: ${result.worth}`);
+        options.onProgress(`${runKey(run)}: ${result.worth}`);
       }
     }
   }
-  await Promise.all(Array.from({ length: comparison.jobs }, playNext));
-  return plays.flatMap((play) => results.get(keyOf(play)) ?? []);
+  await Promise.all(Array.from({ length: comparison.jobs }, runNext));
+  return runs.flatMap((run) => results.get(runKey(run)) ?? []);
 }
 
-function readResults(path: string): ReadonlyArray<PlayResult> {
+function readResults(path: string): ReadonlyArray<RunResult> {
   const text = existsSync(path) ? readFileSync(path, "utf8") : "";
   const lines = text.split("\n").filter((line) => line !== "");
-  return lines.map((line) => JSON.parse(line) as PlayResult);
+  return lines.map((line) => JSON.parse(line) as RunResult);
 }
 
-async function playDay(
+async function runDay(
   { decision, extra, sites, ways }: Comparison,
-  play: Play,
+  run: Run,
   program: string,
-): Promise<PlayResult | undefined> {
-  const { day, seed, site, way } = play;
+): Promise<RunResult | undefined> {
+  const { day, seed, site, way } = run;
   const varied = seed === 0 ? [] : ["--vary", "--seed", String(seed)];
   const why = `comparison of ways, ${decision}: ${way}`;
   const args = ["run", sites[site] ?? "", day, ...varied, ...extra, "--why", why];
@@ -71,6 +71,6 @@
     report += chunk.toString();
   });
   await new Promise((resolve) => child.on("close", resolve));
-  const played = readPlayedDay(report);
-  return played === undefined ? undefined : { ...play, ...played };
+  const dayReport = parseDayReport(report);
+  return dayReport === undefined ? undefined : { ...run, ...dayReport };
 }
--- a/compare/run_comparison_test.ts
+++ b/compare/run_comparison_test.ts
@@ -4,8 +4,8 @@
 import t from "tap";
 import { type Comparison, parseComparison } from "./comparison.js";
 import { comparisonPlot, comparisonReport } from "./comparison_report.js";
+import { parseDayReport } from "./day_report.js";
 import { pairedDifference } from "./paired_difference.js";
-import { readPlayedDay } from "./played_day.js";
 import { runComparison } from "./run_comparison.js";
 
 const REPORT = [
@@ -24,7 +24,7 @@
 function comparisonOf(folder: string): Comparison {
   return {
     decision: "which leaf",
-    ways: { stands: join(folder, "stands"), pace: join(folder, "pace") },
+    ways: { baseline: join(folder, "baseline"), candidate: join(folder, "candidate") },
     sites: { small: "small.toml" },
     days: ["quiet", "trouble"],
     seeds: [0, 7],
@@ -33,27 +33,27 @@
   };
 }
 
-/** A program that plays a day: each way's worth by the folder that it is run in, and it counts its runs. */
+/** Program that reports a worth by the folder it runs in and logs its runs. */
 const PROGRAM = `#!/usr/bin/env node
 const fs = require("node:fs");
 fs.appendFileSync(process.env.RUNS ?? "../runs", process.argv.slice(2).join(" ") + "\\n");
-const worth = process.cwd().endsWith("pace") ? "0.700" : "0.600";
+const worth = process.cwd().endsWith("candidate") ? "0.700" : "0.600";
 if (process.argv.includes("7") && fs.readFileSync("../runs", "utf8").split("\\n").length < 4) process.exit(1);
 console.log("worth " + worth + " = whole day 0.9\\n\\nsnapshot abc123");
 `;
 
-t.test("readPlayedDay() reads worth, kinds and the entry of a report", async (t) => {
-  t.same(readPlayedDay(REPORT), {
+t.test("parseDayReport() parses worth, request kinds and the ID of the stored run", async (t) => {
+  t.same(parseDayReport(REPORT), {
     worth: 0.595,
     isBroken: false,
     worthByKind: { "bid-book-sweep": 0.871, "settlement-lookup": 0.995 },
     entry: "9ccdf4f7",
   });
-  t.equal(readPlayedDay("given up for its processor time"), undefined);
+  t.equal(parseDayReport("given up for its processor time"), undefined);
 });
 
 t.test(
-  "pairedDifference() says nothing better that lies within the spread or the noise",
+  "pairedDifference() reports no difference within the spread or below the noise floor",
   async (t) => {
     t.equal(pairedDifference([0.05]).verdict, "too few pairs");
     t.equal(pairedDifference([0.02, 0.02, 0.02]).verdict, "no difference beyond the spread");
@@ -63,7 +63,7 @@
   },
 );
 
-t.test("a comparison of one way, or with a field that is no good, is refused", async (t) => {
+t.test("parseComparison() rejects a single way, an invalid field and invalid TOML", async (t) => {
   const one = 'decision = "d"\ndays = ["a"]\n[ways]\na = "."\n[sites]\ns = "s"\n';
   t.match(parseComparison(one)._unsafeUnwrapErr(), /two ways/);
   t.match(parseComparison(`jobs = 90\n${one}`)._unsafeUnwrapErr(), /"jobs"/);
@@ -71,7 +71,7 @@
 });
 
 t.test(
-  "runComparison() pairs ways on the same days and goes on where it was broken off",
+  "runComparison() pairs ways on the same days and resumes after an interruption",
   async (t) => {
     const folder = mkdtempSync(join(tmpdir(), "rackvale-compare-"));
     t.teardown(() => rmSync(folder, { recursive: true }));
@@ -80,19 +80,23 @@
     writeFileSync(join(folder, "runs"), "");
     chmodSync(program, 0o755);
     const { mkdirSync } = await import("node:fs");
-    mkdirSync(join(folder, "stands"));
-    mkdirSync(join(folder, "pace"));
+    mkdirSync(join(folder, "baseline"));
+    mkdirSync(join(folder, "candidate"));
     const resultsPath = join(folder, "results.jsonl");
-    const told: Array<string> = [];
-    const options = { program, resultsPath, onPlayed: (line: string) => told.push(line) };
+    const messages: Array<string> = [];
+    const options = { program, resultsPath, onProgress: (line: string) => messages.push(line) };
     const comparison = comparisonOf(folder);
     await runComparison({ ...comparison, days: ["quiet"], jobs: 1 }, options);
     const results = await runComparison(comparison, options);
     t.equal(results.length, 8);
     const runs = readFileSync(join(folder, "runs"), "utf8").trim().split("\n").length;
-    t.equal(runs, 8 + told.filter((line) => line.endsWith("end")).length, "none is played twice");
+    t.equal(
+      runs,
+      8 + messages.filter((line) => line.endsWith("did not finish")).length,
+      "no finished run is repeated",
+    );
     const report = comparisonReport(comparison.decision, results);
-    t.match(report, /\| pace \| small \| worth \| 4 \| 0\.100 \| 0\.000 \| better \|/);
+    t.match(report, /\| candidate \| small \| worth \| 4 \| 0\.100 \| 0\.000 \| better \|/);
     t.match(await comparisonPlot(comparison.decision, results), /^<svg/);
   },
 );
