--- a/tools/box_loader.cjs
+++ b/tools/box_loader.cjs
@@ -1,6 +1,6 @@
 /**
- * Starts the bundled box daemon from compiled code that the build has kept, which saves a third of
- * the time that a start takes. Stands in `target/` beside the bundle.
+ * Starts the bundled box daemon from V8's code cache, which the build writes, to shorten its start.
+ * The build copies this file into `target/`, next to the bundle.
  *
  * @module
  */
@@ -10,29 +10,31 @@
 const { Script } = require("node:vm");
 
 const BUNDLE = join(__dirname, "box.cjs");
-const COMPILED = join(__dirname, "box.compiled");
+const CODE_CACHE = join(__dirname, "box.compiled");
 
-/** Set by the build alone: the compiled code is written when the program ends. */
+/** Whether the build runs this file, to write the code cache when the process exits. */
 const isBuild = process.env.RACKVALE_KEEP_COMPILED === "1";
 
 if (isBuild) {
-  // All functions, not only those that the build happens to call.
+  // Compiles all functions, not only those called during the build.
   setFlagsFromString("--no-lazy");
 }
-/** As Node wraps a module in CommonJS. */
+/** The bundle in Node.js's CommonJS module wrapper. */
 const source = `(function (exports, require, module, __filename, __dirname) {${readFileSync(BUNDLE, "utf8")}\n})`;
 const script = new Script(source, {
   filename: BUNDLE,
-  ...(isBuild ? {} : { cachedData: readFileSync(COMPILED) }),
+  ...(isBuild ? {} : { cachedData: readFileSync(CODE_CACHE) }),
 });
 if (script.cachedDataRejected === true) {
-  // Another version of Node or other flags: slower, but all the same.
-  process.stderr.write("box: compiled code does not fit this Node, compiling anew\n");
+  // Built with another version or other flags of Node.js; the daemon only starts more slowly.
+  process.stderr.write(
+    "box: code cache rejected (other version or flags of Node.js), compiling from source\n",
+  );
 }
 if (isBuild) {
-  // Back to how the daemon runs: compiled code fits only the same flags.
+  // Restores the daemon's flags: V8 accepts a code cache only with the same flags.
   setFlagsFromString("--lazy");
-  process.on("exit", () => writeFileSync(COMPILED, script.createCachedData()));
+  process.on("exit", () => writeFileSync(CODE_CACHE, script.createCachedData()));
 }
 const loaded = { exports: {} };
 script.runInThisContext()(loaded.exports, require, loaded, BUNDLE, __dirname);
--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,5 +1,5 @@
 /**
- * Bundles the box daemon under `target/` and keeps its compiled code, so that it starts quickly.
+ * Bundles the box daemon into `target/` and writes its V8 code cache.
  *
  * @module
  */
@@ -8,18 +8,18 @@
 import { fileURLToPath } from "node:url";
 import { build } from "esbuild";
 
-/** Flags of Node that the daemon runs with; compiled code fits only the same ones. */
+/** Node.js flags of the daemon; V8 accepts a code cache only with the same flags. */
 const NODE_FLAGS = process.argv.slice(2);
 
-/** Stands in for the whole library, except within the file that picks its parts. */
+/** Replaces the complete library, except in the file that selects its modules. */
 const UNDICI_CLIENT = fileURLToPath(new URL("undici_client.cjs", import.meta.url));
 
-/** Takes parts of libraries and of the program itself from other places than the sources name. */
-const PLACES = {
-  name: "places",
+/** esbuild plugin that redirects imports of undici and of the policy engine. */
+const REDIRECTS = {
+  name: "redirects",
   setup({ onResolve }) {
     onResolve({ filter: /^undici$/ }, () => ({ path: UNDICI_CLIENT }));
-    // Read only where an operator has set policy programs.
+    // Loaded only if an operator has configured policy programs.
     onResolve({ filter: /^\.\.\/policy\/mod\.js$/ }, ({ kind }) => {
       return kind === "dynamic-import" ? { path: "./policy.cjs", external: true } : undefined;
     });
@@ -37,10 +37,10 @@
   minify: true,
   keepNames: false,
   logLevel: "warning",
-  plugins: [PLACES],
-  // Compiled code that was kept can only `require`.
+  plugins: [REDIRECTS],
+  // Code from the cache supports `require` only.
   supported: { "dynamic-import": false },
-  // bunyan's optional parts are not installed.
+  // bunyan's optional dependencies are not installed.
   external: ["dtrace-provider", "mv", "safe-json-stringify", "source-map-support"],
 });
 
--- a/tools/journal_test.ts
+++ b/tools/journal_test.ts
@@ -1,5 +1,4 @@
-// Four entries of the journal held both sides of a merge, so that no program could read them and the days
-// that they record could not be checked.
+// Guards against journal entries with merge conflict markers or invalid JSON.
 
 import { readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
@@ -7,12 +6,12 @@
 
 const FOLDER = "journal";
 
-t.test("each entry of the journal can be read as it was written", async (t) => {
+t.test("each journal entry is valid JSON without conflict markers", async (t) => {
   const names = readdirSync(FOLDER).filter((name) => name.endsWith(".json"));
   t.ok(names.length > 0);
   for (const name of names) {
     const text = readFileSync(join(FOLDER, name), "utf8");
-    t.notMatch(text, /^(<{7}|={7}$|>{7})/m, `${name} holds one side of a merge alone`);
-    t.doesNotThrow(() => JSON.parse(text), `${name} is JSON`);
+    t.notMatch(text, /^(<{7}|={7}$|>{7})/m, `${name} has no conflict markers`);
+    t.doesNotThrow(() => JSON.parse(text), `${name} is valid JSON`);
   }
 });
--- a/tools/layers_test.ts
+++ b/tools/layers_test.ts
@@ -1,12 +1,9 @@
-/**
- * The layers of the box daemon, as `docs/DESIGN.md` draws them: an import that runs back up makes two folders one, which a
- * newcomer can then only read together.
- */
+/** Guards the layers of the box daemon, as described in `docs/DESIGN.md`, against imports from a higher layer. */
 import { readdirSync, readFileSync } from "node:fs";
 import { dirname, join, normalize } from "node:path";
 import t from "tap";
 
-/** Each folder imports only from rows above its own, or from itself. */
+/** Folders by layer, the lowest layer first. A folder may import from its own layer and from lower ones. */
 const LAYERS: ReadonlyArray<ReadonlyArray<string>> = [
   ["model", "core", "limits", "latency", "hashing", "admission", "quarantine", "clock"],
   ["lifecycle", "leafs", "routing", "extra_calls", "membership", "telemetry", "policy"],
@@ -18,7 +15,9 @@
   ["box"],
 ];
 
-const LAYER_OF = new Map(LAYERS.flatMap((row, index) => row.map((folder) => [folder, index])));
+const LAYER_BY_FOLDER = new Map(
+  LAYERS.flatMap((row, index) => row.map((folder) => [folder, index])),
+);
 
 const IMPORT = /from "(\.\.\/[^"]+)"/g;
 
@@ -29,16 +28,16 @@
     .map((file) => join(folder, file));
 }
 
-t.test("no import of the box daemon runs back up the layers", async (t) => {
-  const sources = [...LAYER_OF.keys()].flatMap(sourcesIn);
+t.test("no folder of the box daemon imports from a higher layer", async (t) => {
+  const sources = [...LAYER_BY_FOLDER.keys()].flatMap(sourcesIn);
   const upward = sources.flatMap((file) => {
     const own = dirname(file);
     return [...readFileSync(file, "utf8").matchAll(IMPORT)].flatMap(([, path = ""]) => {
       const folder = normalize(join(own, path)).split("/")[0] ?? "";
-      const isUp = (LAYER_OF.get(folder) ?? Infinity) > (LAYER_OF.get(own) ?? 0);
-      return isUp ? [`${file} imports ${folder}`] : [];
+      const isUpward = (LAYER_BY_FOLDER.get(folder) ?? Infinity) > (LAYER_BY_FOLDER.get(own) ?? 0);
+      return isUpward ? [`${file} imports ${folder}`] : [];
     });
   });
   t.same(upward, []);
-  t.ok(sources.length > 100, `${sources.length} files were read`);
+  t.ok(sources.length > 100, `checked ${sources.length} files`);
 });
--- a/tools/run_tests.ts
+++ b/tools/run_tests.ts
@@ -1,6 +1,6 @@
 /**
- * Runs all tests by tap and ends with the line `N passed, N failed`. Failures that KNOWN-RED.txt
- * names are printed and passed over; one that is listed but passes is said so.
+ * Runs the tests with tap and prints `N passed, N failed` as the last line. Failures listed in
+ * KNOWN-RED.txt are printed but not counted as failed.
  *
  * @module
  */
@@ -8,10 +8,7 @@
 import { readdirSync, readFileSync } from "node:fs";
 import { Parser } from "tap-parser";
 
-/**
- * Time each test file has, in seconds: ends one that hangs. Far above the 25 to 75 s that the slowest
- * take, as beside eight busy processes one took 124.
- */
+/** Timeout of each test file, in seconds. */
 const FILE_TIMEOUT_S = 400;
 
 interface Tally {
@@ -19,7 +16,7 @@
   readonly failures: Array<string>;
 }
 
-function knownRed(): ReadonlyArray<string> {
+function readKnownFailures(): ReadonlyArray<string> {
   try {
     return readFileSync("KNOWN-RED.txt", "utf8")
       .split("\n")
@@ -30,9 +27,9 @@
   }
 }
 
-/** Counts the innermost tests: those that hold no tests of their own. */
-function watch(parser: Parser, tally: Tally): void {
-  parser.on("child", (child: Parser) => watch(child, tally));
+/** Counts the top-level tests of each file. */
+function countTests(parser: Parser, tally: Tally): void {
+  parser.on("child", (child: Parser) => countTests(child, tally));
   parser.on("assert", (result) => {
     const isTest = result.name !== "" && parser.level === 1;
     if (!isTest) {
@@ -54,11 +51,11 @@
     stdio: ["ignore", "pipe", "inherit"],
   });
   const parser = new Parser();
-  watch(parser, tally);
+  countTests(parser, tally);
   child.stdout.on("data", (chunk: Buffer) => process.stdout.write(chunk));
   child.stdout.pipe(parser);
   const code = await new Promise<number>((resolve) => {
-    child.on("close", (ended) => resolve(ended ?? 1));
+    child.on("close", (exitCode) => resolve(exitCode ?? 1));
   });
   return { ...tally, code };
 }
@@ -66,19 +63,19 @@
 const files = readdirSync("dist", { recursive: true, encoding: "utf8" })
   .filter((file) => file.endsWith("_test.js"))
   .map((file) => `dist/${file}`);
-const wanted = process.argv.slice(2);
-const chosen = files.filter((file) => wanted.every((word) => file.includes(word))).sort();
-const { passed, failures, code } = await runTap(chosen);
-const known = knownRed();
-const excused = failures.filter((name) => known.includes(name));
-const real = failures.filter((name) => !known.includes(name));
-for (const name of excused) {
+const filters = process.argv.slice(2);
+const selected = files.filter((file) => filters.every((filter) => file.includes(filter))).sort();
+const { passed, failures, code } = await runTap(selected);
+const knownFailures = readKnownFailures();
+const expectedFailures = failures.filter((name) => knownFailures.includes(name));
+const unexpectedFailures = failures.filter((name) => !knownFailures.includes(name));
+for (const name of expectedFailures) {
   process.stdout.write(`known red: ${name}\n`);
 }
-for (const name of real) {
+for (const name of unexpectedFailures) {
   process.stdout.write(`failed: ${name}\n`);
 }
-const brokeOtherwise = code !== 0 && failures.length === 0;
-const failed = real.length + (brokeOtherwise ? 1 : 0);
+const failedWithoutTest = code !== 0 && failures.length === 0;
+const failed = unexpectedFailures.length + (failedWithoutTest ? 1 : 0);
 process.stdout.write(`${passed} passed, ${failed} failed\n`);
 process.exit(failed > 0 || passed === 0 ? 1 : 0);
--- a/tools/undici_client.cjs
+++ b/tools/undici_client.cjs
@@ -1,6 +1,6 @@
 /**
- * The parts of undici that the box daemon uses. The bundle takes this in place of the whole library,
- * whose fetch, caches, mocks and websockets would have to be read at each start.
+ * The modules of undici that the box daemon uses. The bundle includes them instead of the complete
+ * library, to shorten the daemon's start.
  *
  * @module
  */
--- a/tools/write_examples.ts
+++ b/tools/write_examples.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the examples: the services of both users at their sizes, with policies.
+ * Writes the example configurations: the services of both users at their sizes, with policies.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 const FIRST_PORT = 9_001;
 
 const POLICIES: Readonly<Record<keyof typeof SAMPLE_SHAPES, PolicySources>> = {
-  // Dispatchers take the best few at once; traders wait for every competing offer.
+  // Urgent queries of dispatchers finish early; those of traders include every offer.
   bidscope: {
     finish: "request.priority == 'urgent' ? 0.9 : 1.0",
     retry: "request.priority == 'urgent' ? 0 : 1",
@@ -27,7 +27,7 @@
   },
   "settle-desk": { retry: "request.repeatable ? 1 : 0" },
   aggrelink: { retry: "request.repeatable ? 1 : 0", limit: "20" },
-  // The officer waits no longer than the deadline: near leafs first.
+  // Prefers nearby leafs, as officers need their answers within the deadline.
   "desk-api": { place: "'nearest'", retry: "1" },
   "merchant-portal": {
     place: "'nearest'",
