--- a/standins/_daemon_args.ts
+++ b/standins/_daemon_args.ts
@@ -1,29 +1,29 @@
 /**
- * Arguments of the daemons of an installation on this machine.
+ * Command-line arguments of the daemons of a local fleet.
  *
  * @module
  */
 
-/** Address that everything listens on. */
+/** Address that all processes of the fleet listen on. */
 export const LOOPBACK = "127.0.0.1";
 
-/** What an entry and a pool of one box are started with. */
+/** Options of the entry and the pool of one box. */
 export interface DaemonArgsOptions {
   readonly box: string;
   readonly dataCentre: string;
   readonly platformUrl: string;
-  /** Addresses of daemons to ask first. */
+  /** Peer addresses (`host:port`) of daemons to contact first. */
   readonly seeds: ReadonlyArray<string>;
-  /** Time callers may keep advice, in milliseconds. */
+  /** Time for which callers may cache the address list, in milliseconds. */
   readonly adviceKeepMs: number;
   readonly logLevel: string;
 }
 
 /**
- * Lists the arguments that an entry and a pool share; ports are any that are free.
+ * Builds the arguments that an entry and a pool share; the operating system assigns the peer port.
  *
- * @param options - What they are started with.
- * @returns The arguments.
+ * @param options - Options of the daemons.
+ * @returns Command-line arguments.
  */
 export function daemonArgs({
   box,
--- a/standins/backend_main.ts
+++ b/standins/backend_main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The backend server stand-in's program.
+ * Entry point of the backend server stand-in.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 
 const { settings } = parseSettingsOrExit("Usage: backend_main --address IP --port PORT", {
   address: { kind: "address", help: "IP address to listen on", fallback: "127.0.0.1" },
-  port: { kind: "port", help: "TCP port to steer it; 0 for any that is free", fallback: "0" },
+  port: { kind: "port", help: "TCP port of the admin API; 0 for any free port", fallback: "0" },
 });
 const { port } = await startBackendStandin(settings);
 process.stdout.write(`${JSON.stringify({ listening: { port } })}\n`);
--- a/standins/backend_standin.ts
+++ b/standins/backend_standin.ts
@@ -1,5 +1,5 @@
 /**
- * A process that stands in for backend servers: it holds many leafs and is steered over HTTP.
+ * A process that simulates backend servers: it runs many leafs and is controlled over HTTP.
  *
  * @module
  */
@@ -12,13 +12,13 @@
   close(): void;
 }
 
-/** Where the stand-in is steered. */
+/** Address and port of the admin API. */
 export interface BackendStandinOptions {
   readonly address: string;
   readonly port: number;
 }
 
-/** A change to the leafs whose names begin alike. */
+/** A change to all leafs whose ids have a common prefix. */
 export interface LeafChange {
   readonly prefix: string;
   readonly options: Partial<LeafStandinOptions>;
@@ -27,17 +27,17 @@
 /**
  * Starts a backend stand-in without leafs.
  *
- * Steering: `POST /admin/leafs` starts leafs and answers with their ports, `POST /admin/change`
- * changes some, `POST /admin/close` ends some, `GET /admin/runs` tells what ran and
- * `GET /admin/stats` the counts by leaf.
+ * Admin API: `/admin/leafs` starts leafs and returns their ports, `/admin/change` changes the
+ * options of leafs, `/admin/close` stops leafs, `/admin/runs` returns the calls that were run,
+ * `/admin/forget` clears them, and `/admin/stats` returns the counters of each leaf.
  *
- * @param options - Where it is steered.
+ * @param options - Address and port of the admin API.
  * @returns The stand-in.
  */
 export async function startBackendStandin(options: BackendStandinOptions): Promise<BackendStandin> {
   const leafs = new Map<string, LeafStandin>();
 
-  function matching(prefix: string): ReadonlyArray<LeafStandin> {
+  function leafsWithPrefix(prefix: string): ReadonlyArray<LeafStandin> {
     return [...leafs].filter(([leafId]) => leafId.startsWith(prefix)).map(([, leaf]) => leaf);
   }
 
@@ -54,14 +54,14 @@
   const routes: Readonly<Record<string, (body: string) => Promise<unknown> | unknown>> = {
     "/admin/leafs": (body) => startLeafs(JSON.parse(body) as ReadonlyArray<LeafStandinOptions>),
     "/admin/change": (body) => {
-      const { prefix, options: changed } = JSON.parse(body) as LeafChange;
-      for (const leaf of matching(prefix)) {
-        leaf.change(changed);
+      const { prefix, options: changes } = JSON.parse(body) as LeafChange;
+      for (const leaf of leafsWithPrefix(prefix)) {
+        leaf.change(changes);
       }
       return {};
     },
     "/admin/close": (body) => {
-      for (const leaf of matching((JSON.parse(body) as LeafChange).prefix)) {
+      for (const leaf of leafsWithPrefix((JSON.parse(body) as LeafChange).prefix)) {
         leaf.close();
       }
       return {};
--- a/standins/fleet.ts
+++ b/standins/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A whole installation as separate processes: stand-ins, entries and pools.
+ * A complete fleet as separate processes: stand-ins, entries and pools.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 
 export { LOOPBACK } from "./_daemon_args.js";
 
-/** One box with its two daemons. */
+/** A box with its two daemons. */
 export interface FleetBox {
   readonly box: string;
   readonly dataCentre: string;
@@ -22,19 +22,19 @@
   readonly pool: FleetProcess;
 }
 
-/** How an installation is made. */
+/** Options of a {@linkcode Fleet}. */
 export interface FleetOptions {
   readonly boxes: number;
   readonly dataCentres: ReadonlyArray<string>;
   readonly seed: number;
-  /** Time callers may keep advice, in milliseconds; default 5000. */
+  /** Time for which callers may cache the address list, in milliseconds; default 5000. */
   readonly adviceKeepMs?: number;
   readonly logLevel?: string;
-  /** Processes that share the leafs of a service; default 1. */
+  /** Processes that the leafs of a service are distributed over; default 1. */
   readonly backendProcesses?: number;
 }
 
-/** A whole installation. */
+/** A complete fleet: platform, backend servers and boxes. */
 export class Fleet {
   readonly platform: FleetProcess;
   readonly backends: ReadonlyArray<FleetProcess>;
@@ -54,10 +54,10 @@
   }
 
   /**
-   * Starts stand-ins and boxes and waits until each entry is ready.
+   * Starts the stand-ins and the boxes, and waits until every entry is ready.
    *
-   * @param options - How many boxes, where.
-   * @returns The installation.
+   * @param options - Number and data centres of the boxes, and the seed.
+   * @returns The fleet.
    */
   static async start(options: FleetOptions): Promise<Fleet> {
     const platform = await startProcess("standins/platform_main.js", []);
@@ -71,7 +71,7 @@
       const dataCentre = options.dataCentres[index % options.dataCentres.length] ?? "here";
       fleet.boxes.push(await fleet.#startBox(`box-${index + 1}`, dataCentre));
     }
-    await fleet.#listBoxes();
+    await fleet.#publishBoxes();
     await fleet.ready();
     return fleet;
   }
@@ -89,22 +89,22 @@
   }
 
   /**
-   * Starts one more box, in place of one with the same name if there is one.
+   * Starts a box; it replaces a box of the same name.
    *
    * @param box - Name of the box.
-   * @param dataCentre - Data centre it stands in.
+   * @param dataCentre - Data centre of the box.
    * @returns The box.
    */
   async addBox(box: string, dataCentre: string): Promise<FleetBox> {
     const added = await this.#startBox(box, dataCentre);
     const index = this.boxes.findIndex((each) => each.box === box);
     this.boxes.splice(index < 0 ? this.boxes.length : index, index < 0 ? 0 : 1, added);
-    await this.#listBoxes();
+    await this.#publishBoxes();
     return added;
   }
 
-  async #listBoxes(): Promise<void> {
-    const own = this.boxes.map(({ box, dataCentre, entry, pool }) => ({
+  async #publishBoxes(): Promise<void> {
+    const rackvaleBoxes = this.boxes.map(({ box, dataCentre, entry, pool }) => ({
       box,
       dataCentre,
       address: LOOPBACK,
@@ -112,10 +112,10 @@
       entryPeerPort: entry.ports.peerPort,
       poolPeerPort: pool.ports.peerPort,
     }));
-    const others = this.#backendBoxes.map(({ box, dataCentre }) => {
+    const backendBoxes = this.#backendBoxes.map(({ box, dataCentre }) => {
       return { box, dataCentre, address: LOOPBACK, leaving: this.#leaving.has(box) };
     });
-    await this.steer(this.platform, "/admin/boxes", [...own, ...others]);
+    await this.steer(this.platform, "/admin/boxes", [...rackvaleBoxes, ...backendBoxes]);
   }
 
   /**
@@ -125,39 +125,39 @@
    */
   async listLeaving(box: string): Promise<void> {
     this.#leaving.add(box);
-    await this.#listBoxes();
+    await this.#publishBoxes();
   }
 
   /** Waits until every entry is ready and has a stream to every pool. */
   async ready(): Promise<void> {
     await until(async () => {
-      const phases = await Promise.all(
+      const statuses = await Promise.all(
         this.boxes.map((box) => getJson(`${urlOf(box.entry)}/v1/status`)),
       );
-      return phases.every((status) => this.#knowsAll(status));
+      return statuses.every((status) => this.#isFullyConnected(status));
     }, "the boxes are ready");
   }
 
-  #knowsAll(status: unknown): boolean {
+  #isFullyConnected(status: unknown): boolean {
     const { daemons } = status as {
       readonly daemons: ReadonlyArray<{
         readonly report?: { readonly phase?: string; readonly openPools?: ReadonlyArray<string> };
       }>;
     };
-    const own = daemons[0]?.report;
+    const entryReport = daemons[0]?.report;
     return (
       daemons.length >= this.boxes.length * 2 &&
       daemons.every((daemon) => daemon.report?.phase === "ready") &&
-      (own?.openPools?.length ?? 0) >= this.boxes.length
+      (entryReport?.openPools?.length ?? 0) >= this.boxes.length
     );
   }
 
   /**
-   * Starts a service's leafs and submits its configuration and shard map.
+   * Starts the leafs of a service, and submits its configuration and shard map.
    *
    * @param shape - Shape of the service.
-   * @param change - Changes the configuration before it is submitted.
-   * @returns Configuration and shard map as submitted.
+   * @param change - Returns the configuration to submit in place of the generated one.
+   * @returns The submitted configuration and shard map.
    */
   async addService(
     shape: ServiceShape,
@@ -169,7 +169,7 @@
     );
     const config = change(sampleConfig(shape, ports, { address: LOOPBACK }));
     this.#backendBoxes = [...this.#backendBoxes, ...config.backendServers];
-    await this.#listBoxes();
+    await this.#publishBoxes();
     await this.submit("services", shape.service, config);
     await this.submit("shardmaps", shape.service, shardMap);
     await this.inForce(`shardmap/${shape.service}`, 1);
@@ -177,30 +177,30 @@
   }
 
   /**
-   * Starts leafs, spread over the backend processes.
+   * Starts leafs, distributed over the backend processes.
    *
-   * @param leafs - What each is like.
-   * @returns Port of each leaf.
+   * @param leafs - Options of each leaf.
+   * @returns Port of each leaf, by leaf id.
    */
   async startLeafs(
     leafs: ReadonlyArray<LeafStandinOptions>,
   ): Promise<Readonly<Record<string, number>>> {
     const started = await Promise.all(
       this.backends.map((backend, index) => {
-        const part = leafs.filter((_, each) => each % this.backends.length === index);
-        return this.steer(backend, "/admin/leafs", part);
+        const assigned = leafs.filter((_, leaf) => leaf % this.backends.length === index);
+        return this.steer(backend, "/admin/leafs", assigned);
       }),
     );
     return Object.assign({}, ...started) as Readonly<Record<string, number>>;
   }
 
   /**
-   * Submits an object by the first box.
+   * Submits an object through the first box.
    *
    * @param collection - `services` or `shardmaps`.
    * @param name - Name of the object.
    * @param value - The object.
-   * @returns Status and body of the answer.
+   * @returns Status and body of the response.
    */
   async submit(collection: string, name: string, value: unknown) {
     const [first] = this.boxes;
@@ -211,10 +211,10 @@
   }
 
   /**
-   * Waits until a revision is in force on every daemon that can be reached.
+   * Waits until every reachable daemon uses at least the given revision of an object.
    *
    * @param key - Key of the object.
-   * @param revision - Its revision.
+   * @param revision - Lowest accepted revision.
    */
   async inForce(key: string, revision: number): Promise<void> {
     await until(async () => {
@@ -231,10 +231,10 @@
   }
 
   /**
-   * Changes the leafs whose names begin alike.
+   * Changes all leafs whose ids have a common prefix.
    *
-   * @param prefix - Beginning of their names.
-   * @param options - What changes.
+   * @param prefix - Common prefix of the leaf ids.
+   * @param options - Options to change.
    */
   async changeLeafs(prefix: string, options: Partial<LeafStandinOptions>): Promise<void> {
     await Promise.all(
@@ -243,38 +243,38 @@
   }
 
   /**
-   * Switches faults of the platform.
+   * Sets faults of the platform stand-in.
    *
-   * @param faults - What changes.
+   * @param faults - Faults to change.
    */
   async setPlatformFaults(faults: Partial<PlatformFaults>): Promise<void> {
     await this.steer(this.platform, "/admin/faults", faults);
   }
 
   /**
-   * Collects what a stand-in's processes tell.
+   * Requests an admin path of every backend process.
    *
-   * @param path - Path to ask.
-   * @returns One answer for each backend process.
+   * @param path - Path of the admin API.
+   * @returns Response bodies, one for each backend process.
    */
   async askBackends(path: string): Promise<ReadonlyArray<unknown>> {
     return Promise.all(this.backends.map((backend) => this.steer(backend, path, {})));
   }
 
   /**
-   * Steers a stand-in.
+   * Calls the admin API of a stand-in.
    *
-   * @param standin - Its process.
-   * @param path - Path of the steering call.
-   * @param body - Its body.
-   * @returns The answer.
+   * @param standin - Process of the stand-in.
+   * @param path - Path of the admin API.
+   * @param body - Request body.
+   * @returns Body of the response.
    */
   async steer(standin: FleetProcess, path: string, body: unknown): Promise<unknown> {
-    const answer = await postJson(`http://${LOOPBACK}:${standin.ports.port}${path}`, body);
-    return answer.body;
+    const response = await postJson(`http://${LOOPBACK}:${standin.ports.port}${path}`, body);
+    return response.body;
   }
 
-  /** Ends all processes. */
+  /** Kills all processes and waits until they have exited. */
   async stop(): Promise<void> {
     const all = [
       ...this.boxes.flatMap((box) => [box.entry, box.pool]),
@@ -289,10 +289,10 @@
 }
 
 /**
- * Tells where an entry faces callers.
+ * Returns the URL at which an entry serves callers.
  *
- * @param entry - The entry's process.
- * @returns Its base URL.
+ * @param entry - Process of the entry.
+ * @returns Base URL.
  */
 export function urlOf(entry: FleetProcess | undefined): string {
   return `http://${LOOPBACK}:${entry?.ports.callerPort}`;
--- a/standins/http.ts
+++ b/standins/http.ts
@@ -1,11 +1,11 @@
 /**
- * The little HTTP that the stand-ins share.
+ * HTTP server helpers shared by the stand-ins.
  *
  * @module
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 
-/** One request as a stand-in sees it. */
+/** A received request with its complete body. */
 export interface StandinRequest {
   readonly method: string;
   readonly path: string;
@@ -16,10 +16,10 @@
 }
 
 /**
- * Starts a server that reads whole bodies.
+ * Starts a server that reads each request body completely before it calls the handler.
  *
- * @param handle - Answers a request.
- * @param options - Where to listen; port 0 for any that is free.
+ * @param handle - Handles a request.
+ * @param options - Address and port to listen on; port 0 for any free port.
  * @returns The server and its port.
  */
 export async function serve(
@@ -48,11 +48,11 @@
 }
 
 /**
- * Writes a JSON answer.
+ * Sends a JSON response unless one was sent or the connection is closed.
  *
- * @param response - Where to write.
- * @param statusCode - HTTP status.
- * @param body - The body.
+ * @param response - Response to write to.
+ * @param statusCode - HTTP status code.
+ * @param body - Value to serialize.
  */
 export function reply(response: ServerResponse, statusCode: number, body: unknown): void {
   if (!response.destroyed && !response.headersSent) {
--- a/standins/json_http.ts
+++ b/standins/json_http.ts
@@ -1,11 +1,11 @@
 /**
- * JSON over HTTP, for tests and measurements.
+ * HTTP client helpers that send and receive JSON, for tests and benchmarks.
  *
  * @module
  */
 import { request } from "undici";
 
-/** Status and body of an answer. */
+/** Status, headers and parsed body of a response. */
 export interface JsonAnswer {
   readonly statusCode: number;
   readonly headers: Readonly<Record<string, unknown>>;
@@ -13,44 +13,48 @@
 }
 
 async function sendJson(method: "POST" | "PUT", url: string, body: unknown): Promise<JsonAnswer> {
-  const answer = await request(url, {
+  const response = await request(url, {
     method,
     headers: { "content-type": "application/json" },
     body: JSON.stringify(body),
     headersTimeout: 70_000,
   });
-  return { statusCode: answer.statusCode, headers: answer.headers, body: await answer.body.json() };
+  return {
+    statusCode: response.statusCode,
+    headers: response.headers,
+    body: await response.body.json(),
+  };
 }
 
 /**
- * Posts JSON.
+ * Sends a POST request with a JSON body.
  *
- * @param url - Where to.
- * @param body - The body.
- * @returns The answer.
+ * @param url - URL of the request.
+ * @param body - Value to serialize.
+ * @returns The response.
  */
 export function postJson(url: string, body: unknown): Promise<JsonAnswer> {
   return sendJson("POST", url, body);
 }
 
 /**
- * Puts JSON.
+ * Sends a PUT request with a JSON body.
  *
- * @param url - Where to.
- * @param body - The body.
- * @returns The answer.
+ * @param url - URL of the request.
+ * @param body - Value to serialize.
+ * @returns The response.
  */
 export function putJson(url: string, body: unknown): Promise<JsonAnswer> {
   return sendJson("PUT", url, body);
 }
 
 /**
- * Gets JSON.
+ * Sends a GET request and parses the JSON response.
  *
- * @param url - Where from.
- * @returns The body.
+ * @param url - URL of the request.
+ * @returns Parsed body of the response.
  */
 export async function getJson(url: string): Promise<unknown> {
-  const answer = await request(url);
-  return answer.body.json();
+  const response = await request(url);
+  return response.body.json();
 }
--- a/standins/leaf_standin.ts
+++ b/standins/leaf_standin.ts
@@ -1,6 +1,6 @@
 /**
- * One leaf of a backend server stand-in: slots, a connection cap with a cost for each connection,
- * several snapshots side by side, stragglers, shedding, cancellation and deadlines.
+ * A leaf of the backend server stand-in. It simulates slots, a limit on connections, the cost of a
+ * new connection, concurrent snapshots, stragglers, load shedding, cancellation and deadlines.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import { fnv1a } from "../hashing/mod.js";
 import { reply, type StandinRequest, serve } from "./http.js";
 
-/** What a leaf is like. */
+/** Options of a leaf stand-in. */
 export interface LeafStandinOptions {
   readonly service: string;
   readonly leafId: string;
@@ -19,31 +19,31 @@
   readonly port: number;
   readonly slots: number;
   readonly maxConnections: number;
-  /** Time a new connection costs, in milliseconds. */
+  /** Delay before the first request on a new connection is handled, in milliseconds. */
   readonly connectCostMs: number;
-  /** Usual time of a call, in milliseconds. */
+  /** Mean duration of a call that is no straggler, in milliseconds. */
   readonly serviceTimeMs: number;
-  /** Share of calls that straggle, and by what factor. */
+  /** Share of calls that are stragglers, and the factor by which they take longer. */
   readonly stragglers: { readonly share: number; readonly factor: number };
-  /** Shards held, by snapshot. */
+  /** Shards that the leaf serves, by snapshot. */
   readonly holdings: Readonly<Record<string, ReadonlyArray<string>>>;
   readonly rowsPerShard: number;
   readonly seed: number;
-  /** State told at `/load` and with answers. */
+  /** State of the leaf, reported at `/load` and with responses. */
   readonly state: "ready" | "cold" | "draining";
-  /** State told at `/load` whatever is true. */
+  /** State reported at `/load` in place of the actual one. */
   readonly reportedState: "ready" | "cold" | "draining" | undefined;
-  /** Ways in which answers are wrong. */
+  /** Kind of invalid response that the leaf sends. */
   readonly misbehaviour: "none" | "empty" | "other snapshot" | "garbage" | "hang up";
 }
 
-/** One call that ran. */
+/** A call that was run. */
 export interface LeafRun {
   readonly leafId: string;
   readonly callId: string;
   readonly shard: string;
   readonly snapshot: string;
-  /** Mark that the caller put into the body. */
+  /** Field `mark` of the request body; empty if there is none. */
   readonly mark: string;
   readonly atMs: number;
 }
@@ -59,22 +59,22 @@
 /** A running leaf stand-in. */
 export interface LeafStandin {
   readonly port: number;
-  /** Changes what the leaf is like. */
+  /** Changes options of the running leaf. */
   change(options: Partial<LeafStandinOptions>): void;
   readonly runs: Array<LeafRun>;
   readonly stats: { calls: number; shed: number; cancelled: number; maxInFlight: number };
   close(): void;
 }
 
-/** Calls that wait for a slot at most. */
-const QUEUE_MAX = 64;
+/** Maximum number of calls that wait for a slot. */
+const MAX_QUEUE_LENGTH = 64;
 
 /**
- * Makes the rows of a shard; the same on every leaf that holds it.
+ * Generates the rows of a shard; every replica returns the same rows.
  *
- * @param service - The service.
- * @param place - Snapshot and shard.
- * @param rowCount - How many rows.
+ * @param service - Name of the service.
+ * @param location - Snapshot and shard.
+ * @param rowCount - Number of rows.
  * @returns The rows.
  */
 export function shardRows(
@@ -91,7 +91,7 @@
 /**
  * Starts a leaf stand-in.
  *
- * @param initial - What it is like.
+ * @param initial - Options at the start.
  * @returns The stand-in.
  */
 export async function startLeafStandin(initial: LeafStandinOptions): Promise<LeafStandin> {
@@ -104,7 +104,7 @@
   const runs: Array<LeafRun> = [];
   const stats = { calls: 0, shed: 0, cancelled: 0, maxInFlight: 0 };
 
-  function draw(): number {
+  function nextRandom(): number {
     const [value, next] = prand.uniformIntDistribution(0, 999_999, random);
     random = next;
     return value / 1_000_000;
@@ -112,8 +112,8 @@
 
   function durationMs(): number {
     const { share, factor } = options.stragglers;
-    const usualMs = options.serviceTimeMs * (0.75 + 0.5 * draw());
-    return draw() < share ? usualMs * factor : usualMs;
+    const typicalMs = options.serviceTimeMs * (0.75 + 0.5 * nextRandom());
+    return nextRandom() < share ? typicalMs * factor : typicalMs;
   }
 
   function refuse(response: ServerResponse, statusCode: number, reason: string): void {
@@ -122,7 +122,7 @@
     reply(response, statusCode, { reason, notRun: true, retryAfterMs });
   }
 
-  function takeQuery(request: StandinRequest): void {
+  function handleQuery(request: StandinRequest): void {
     const { headers } = request.request;
     const snapshot = String(headers[LEAF_HEADERS.snapshot]);
     const shard = String(headers[LEAF_HEADERS.shard]);
@@ -139,7 +139,7 @@
       refuse(request.response, 409, "wrong snapshot");
     } else if (!shards.includes(shard)) {
       refuse(request.response, 409, "not held");
-    } else if (queue.length >= QUEUE_MAX) {
+    } else if (queue.length >= MAX_QUEUE_LENGTH) {
       stats.shed += 1;
       refuse(request.response, 503, "overloaded");
     } else {
@@ -166,32 +166,32 @@
     }
     inFlight += 1;
     stats.maxInFlight = Math.max(stats.maxInFlight, inFlight);
-    const mark = markOf(request.body);
+    const mark = parseMark(request.body);
     runs.push({ leafId: options.leafId, callId, shard, snapshot, mark, atMs: performance.now() });
-    const end = (): void => {
+    const finish = (): void => {
       running.delete(callId);
       clearTimeout(timer);
       inFlight -= 1;
       runNext();
     };
     const timer = setTimeout(() => {
-      end();
+      finish();
       answer(call);
     }, durationMs());
     running.set(callId, () => {
-      end();
+      finish();
       reply(request.response, 499, { reason: "cancelled", notRun: false });
     });
   }
 
   function answer({ request: { response }, snapshot, shard }: LeafCall): void {
     const { service, rowsPerShard, misbehaviour } = options;
-    const told = misbehaviour === "other snapshot" ? `${snapshot}-other` : snapshot;
+    const reportedSnapshot = misbehaviour === "other snapshot" ? `${snapshot}-other` : snapshot;
     const rows = shardRows(service, { snapshot, shard }, rowsPerShard);
     const text = misbehaviour === "garbage" ? "[{" : JSON.stringify(rows);
     response.writeHead(200, {
       "content-type": "application/json",
-      [LEAF_HEADERS.snapshot]: told,
+      [LEAF_HEADERS.snapshot]: reportedSnapshot,
       [LEAF_HEADERS.shard]: shard,
       [LEAF_HEADERS.rowCount]: String(rows.length),
       [LEAF_HEADERS.state]: options.state,
@@ -214,7 +214,7 @@
   }
 
   const routes: Readonly<Record<string, (request: StandinRequest) => void>> = {
-    [LEAF_PATHS.query]: takeQuery,
+    [LEAF_PATHS.query]: handleQuery,
     [LEAF_PATHS.cancel]: cancel,
     [LEAF_PATHS.load]: ({ response }) =>
       reply(response, 200, {
@@ -244,8 +244,8 @@
 
   return {
     port,
-    change: (changed) => {
-      options = { ...options, ...changed };
+    change: (changes) => {
+      options = { ...options, ...changes };
     },
     runs,
     stats,
@@ -256,7 +256,7 @@
   };
 }
 
-function markOf(body: string): string {
+function parseMark(body: string): string {
   try {
     const data = JSON.parse(body) as { readonly mark?: unknown } | null;
     return typeof data?.mark === "string" ? data.mark : "";
--- a/standins/mod.ts
+++ b/standins/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for the platform and for backend servers, for tests, the demo and the bench only.
+ * Simulated platform and backend servers, for tests, the demo and the benchmarks only.
  *
  * @module
  */
--- a/standins/processes.ts
+++ b/standins/processes.ts
@@ -1,42 +1,42 @@
 /**
- * Starting programs of this repository as processes.
+ * Starts programs of this repository as child processes.
  *
  * @module
  */
 import { type ChildProcess, spawn } from "node:child_process";
 import { createInterface } from "node:readline";
 
-/** Time a process has to say where it listens, in milliseconds. */
-const START_MS = 20_000;
+/** Time within which a process must report its ports, in milliseconds. */
+const START_TIMEOUT_MS = 20_000;
 
-/** A process of the installation. */
+/** A process of the fleet. */
 export interface FleetProcess {
   readonly pid: number;
-  /** Ports that the process said it listens on. */
+  /** Ports that the process reported, by name. */
   readonly ports: Readonly<Record<string, number>>;
-  /** Sends a signal. */
   signal(signal: NodeJS.Signals): void;
-  /** Resolves with the exit code once the process has ended; -1 where a signal ended it. */
+  /** Resolves with the exit code when the process exits; -1 if it was terminated by a signal. */
   readonly ended: Promise<number>;
-  /** The last lines of its log. */
+  /** Last lines of the output of the process. */
   readonly logTail: ReadonlyArray<string>;
 }
 
-/** How a process is started. */
+/** Options of {@linkcode startProcess}. */
 export interface StartOptions {
-  /** Environment variables besides the own ones. */
+  /** Environment variables to add to those of the current process. */
   readonly env?: Readonly<Record<string, string>>;
-  /** Text of the log line by which it says that it listens; by default a line with its ports. */
+  /** Text of the log line that shows that the process is ready; by default, the line with its ports. */
   readonly startedText?: string;
 }
 
 /**
- * Starts a program of this repository and waits until it listens.
+ * Starts a program of this repository and waits until it is ready.
  *
  * @param program - Path of the compiled program below `dist`.
- * @param args - Its arguments.
- * @param options - Its environment, and how it says that it listens.
+ * @param args - Command-line arguments.
+ * @param options - Environment, and the log line that shows that the process is ready.
  * @returns The process.
+ * @throws {Error} If the process exits or does not become ready in time.
  */
 export async function startProcess(
   program: string,
@@ -52,7 +52,7 @@
     child.on("exit", (code) => resolve(code ?? -1));
   });
   const logTail: Array<string> = [];
-  const ports = await listeningPorts(child, { logTail, startedText });
+  const ports = await waitForPorts(child, { logTail, startedText });
   return {
     pid: child.pid ?? 0,
     ports,
@@ -62,22 +62,25 @@
   };
 }
 
-const LOG_LINES = 200;
+const MAX_LOG_LINES = 200;
 
-interface ListeningOptions {
+interface WaitForPortsOptions {
   readonly logTail: Array<string>;
   readonly startedText: string | undefined;
 }
 
-function listeningPorts(
+function waitForPorts(
   child: ChildProcess,
-  { logTail, startedText }: ListeningOptions,
+  { logTail, startedText }: WaitForPortsOptions,
 ): Promise<Readonly<Record<string, number>>> {
   return new Promise((resolve, reject) => {
-    const timer = setTimeout(() => reject(new Error("Cannot start: no port told")), START_MS);
-    function note(line: string): void {
+    const timer = setTimeout(
+      () => reject(new Error("Cannot start process: not ready in time")),
+      START_TIMEOUT_MS,
+    );
+    function handleLine(line: string): void {
       logTail.push(line);
-      if (logTail.length > LOG_LINES) {
+      if (logTail.length > MAX_LOG_LINES) {
         logTail.shift();
       }
       if (line.startsWith('{"listening"')) {
@@ -90,11 +93,15 @@
     }
     child.on("exit", (code) => {
       clearTimeout(timer);
-      reject(new Error(`Cannot start: ended with ${code}: ${logTail.slice(-5).join(" | ")}`));
+      reject(
+        new Error(
+          `Cannot start process: exited with code ${code}: ${logTail.slice(-5).join(" | ")}`,
+        ),
+      );
     });
     if (child.stdout !== null && child.stderr !== null) {
-      createInterface({ input: child.stdout }).on("line", note);
-      createInterface({ input: child.stderr }).on("line", note);
+      createInterface({ input: child.stdout }).on("line", handleLine);
+      createInterface({ input: child.stderr }).on("line", handleLine);
     }
   });
 }
--- a/standins/sample_leaf.ts
+++ b/standins/sample_leaf.ts
@@ -1,11 +1,11 @@
 /**
- * A leaf for tests that do not reach it.
+ * A leaf entry for tests that send it no calls.
  *
  * @module
  */
 import type { Leaf } from "../leafs/mod.js";
 
-/** The leaf; each test changes what matters to it. */
+/** A leaf entry; a test overrides the fields it depends on. */
 export const SAMPLE_LEAF: Leaf = {
   leafId: "i-1",
   bornAtEpochMs: 1,
--- a/standins/sample_member.ts
+++ b/standins/sample_member.ts
@@ -1,17 +1,17 @@
 /**
- * A box for tests that need one.
+ * A box for tests of the membership.
  *
  * @module
  */
 import type { Member } from "../model/mod.js";
 
 /**
- * Makes a box that is alive.
+ * Creates a member in state `alive`.
  *
- * @param given - What matters to the test; the rest is filled in.
- * @returns The box.
+ * @param overrides - Fields to override; the others have default values.
+ * @returns The member.
  */
-export function sampleMember(given: Partial<Member> = {}): Member {
+export function sampleMember(overrides: Partial<Member> = {}): Member {
   return {
     memberId: "box-1",
     incarnation: "1",
@@ -19,11 +19,11 @@
     version: 1,
     state: "alive",
     role: "entry",
-    box: given.memberId ?? "box-1",
+    box: overrides.memberId ?? "box-1",
     dataCentre: "hall-a",
     address: "127.0.0.1",
     peerPort: 1,
     callerPort: 1,
-    ...given,
+    ...overrides,
   };
 }
--- a/standins/sample_services.ts
+++ b/standins/sample_services.ts
@@ -1,5 +1,5 @@
 /**
- * The users' services at the sizes of the brief, as stand-ins and configurations.
+ * Sample services, with their shard maps, leaf stand-ins and configurations.
  *
  * @module
  */
@@ -15,9 +15,9 @@
   readonly maxConnections: number;
   readonly connectCostMs: number;
   readonly serviceTimeMs: number;
-  /** Leafs that hold each shard. */
+  /** Number of leafs that serve each shard. */
   readonly replicas: number;
-  /** Data centres that the instances stand in, in turn. */
+  /** Data centres that the instances are assigned to, in turn. */
   readonly dataCentres: ReadonlyArray<string>;
   readonly extraLoadShare: number;
   readonly rowsPerShard: number;
@@ -26,8 +26,8 @@
 const KINGSTON_HALLS = ["kingston", "montego-bay", "mandeville"] as const;
 const BRUSSELS_HALLS = ["brussels", "amsterdam", "frankfurt"] as const;
 
-/** Shape that the large services of the brief share. */
-const WIDE = {
+/** Shape shared by the large services. */
+const LARGE = {
   leafsPerInstance: 2,
   slots: 2,
   maxConnections: 25,
@@ -38,7 +38,7 @@
   rowsPerShard: 5,
 } as const;
 
-/** Shape that the small ledgers of the brief share. */
+/** Shape shared by the small ledgers. */
 const LEDGER = {
   leafsPerInstance: 1,
   slots: 4,
@@ -49,10 +49,10 @@
   rowsPerShard: 5,
 } as const;
 
-/** The services of the brief, by name. */
+/** Shapes of the sample services, by name. */
 export const SAMPLE_SHAPES = {
-  bidscope: { ...WIDE, service: "bidscope", instances: 20, dataCentres: KINGSTON_HALLS },
-  curvelab: { ...WIDE, service: "curvelab", instances: 30, dataCentres: KINGSTON_HALLS },
+  bidscope: { ...LARGE, service: "bidscope", instances: 20, dataCentres: KINGSTON_HALLS },
+  curvelab: { ...LARGE, service: "curvelab", instances: 30, dataCentres: KINGSTON_HALLS },
   "settle-desk": {
     ...LEDGER,
     service: "settle-desk",
@@ -67,9 +67,9 @@
     maxConnections: 100,
     dataCentres: KINGSTON_HALLS,
   },
-  "desk-api": { ...WIDE, service: "desk-api", instances: 20, dataCentres: BRUSSELS_HALLS },
+  "desk-api": { ...LARGE, service: "desk-api", instances: 20, dataCentres: BRUSSELS_HALLS },
   "merchant-portal": {
-    ...WIDE,
+    ...LARGE,
     service: "merchant-portal",
     instances: 30,
     dataCentres: BRUSSELS_HALLS,
@@ -91,10 +91,10 @@
 } as const satisfies Readonly<Record<string, ServiceShape>>;
 
 /**
- * Names the leafs of a service; neighbours in the list stand on different instances.
+ * Returns the leaf ids of a service; adjacent ids belong to different instances.
  *
  * @param shape - Shape of the service.
- * @returns Names of the leafs.
+ * @returns Leaf ids.
  */
 export function leafIdsOf(shape: ServiceShape): ReadonlyArray<string> {
   return Array.from({ length: shape.leafsPerInstance }, (_, leaf) =>
@@ -107,7 +107,7 @@
 }
 
 /**
- * Makes a shard map in which each leaf holds one shard of its own and replicas of its neighbours'.
+ * Creates a shard map in which each leaf serves one shard and replicas of the shards of preceding leafs.
  *
  * @param shape - Shape of the service.
  * @param snapshot - Name of the snapshot.
@@ -129,12 +129,12 @@
 }
 
 /**
- * Makes the stand-ins of a service's leafs.
+ * Creates the options of the leaf stand-ins of a service.
  *
  * @param shape - Shape of the service.
- * @param shardMap - Which leaf holds what.
- * @param options - Address to listen on, and a seed for times.
- * @returns What each leaf is like.
+ * @param shardMap - Shard map of the service.
+ * @param options - Address to listen on, and the seed of the random durations.
+ * @returns Options of each leaf.
  */
 export function sampleLeafs(
   shape: ServiceShape,
@@ -161,10 +161,10 @@
 }
 
 /**
- * Lists what a leaf holds by a shard map.
+ * Returns the shards that a shard map assigns to a leaf.
  *
- * @param shardMap - The shard map.
- * @param leafId - The leaf.
+ * @param shardMap - Shard map.
+ * @param leafId - Id of the leaf.
  * @returns Shards by snapshot.
  */
 export function holdingsOf(
@@ -180,10 +180,10 @@
 }
 
 /**
- * Makes the configuration of a service whose leafs listen on known ports.
+ * Creates the configuration of a service whose leafs listen on the given ports.
  *
  * @param shape - Shape of the service.
- * @param ports - Port of each leaf.
+ * @param ports - Port of each leaf, by leaf id.
  * @param options - Address of the leafs.
  * @returns The configuration.
  */
--- a/standins/spoilt_value.ts
+++ b/standins/spoilt_value.ts
@@ -1,36 +1,36 @@
 /**
- * Data with one value replaced, for fuzz tests of what boxes read from one another.
+ * Generates data with one value replaced, for fuzz tests of messages between boxes.
  *
  * @module
  */
 import fc from "fast-check";
 
-/** Depth of the values that are put in. */
+/** Maximum depth of a replacement value. */
 const MAX_DEPTH = 2;
 
 /**
- * Makes data in which one value, at any depth, is another one.
+ * Generates copies of data in which the value at one position is replaced by an arbitrary JSON value.
  *
- * @param data - Lists within lists.
- * @param most - Highest number of a value that is replaced, counted through all depths from 0, the whole.
- * @returns The spoilt data.
+ * @param data - Nested arrays.
+ * @param maxPosition - Highest position to replace, counted depth-first; position 0 is `data` itself.
+ * @returns Arbitrary of the changed data.
  */
-export function spoiltValue(data: unknown, most: number): fc.Arbitrary<unknown> {
+export function spoiltValue(data: unknown, maxPosition: number): fc.Arbitrary<unknown> {
   return fc
-    .tuple(fc.integer({ min: 0, max: most }), fc.jsonValue({ maxDepth: MAX_DEPTH }))
-    .map(([place, value]) => spoil(data, { left: place, value }));
+    .tuple(fc.integer({ min: 0, max: maxPosition }), fc.jsonValue({ maxDepth: MAX_DEPTH }))
+    .map(([position, value]) => replaceValue(data, { remaining: position, value }));
 }
 
-interface Spoiler {
-  /** Values to pass over. */
-  left: number;
+interface Replacement {
+  /** Values to skip before the one to replace. */
+  remaining: number;
   readonly value: unknown;
 }
 
-function spoil(data: unknown, spoiler: Spoiler): unknown {
-  spoiler.left -= 1;
-  if (spoiler.left === -1) {
-    return spoiler.value;
+function replaceValue(data: unknown, replacement: Replacement): unknown {
+  replacement.remaining -= 1;
+  if (replacement.remaining === -1) {
+    return replacement.value;
   }
-  return Array.isArray(data) ? data.map((each) => spoil(each, spoiler)) : data;
+  return Array.isArray(data) ? data.map((each) => replaceValue(each, replacement)) : data;
 }
--- a/standins/waiting.ts
+++ b/standins/waiting.ts
@@ -1,33 +1,33 @@
 /**
- * Waiting for something to hold.
+ * Waits for a condition or for a delay.
  *
  * @module
  */
-const UNTIL_MS = 30_000;
-const LOOK_EVERY_MS = 50;
+const TIMEOUT_MS = 30_000;
+const CHECK_INTERVAL_MS = 50;
 
 /**
- * Waits until something holds.
+ * Waits until a condition is met.
  *
- * @param holds - Looks whether it does; a failure counts as not yet.
- * @param what - What is awaited, for the error.
- * @throws When it does not hold within 30 seconds.
+ * @param isMet - Checks the condition; a rejection counts as not met.
+ * @param description - Description of the condition, for the error message.
+ * @throws {Error} If the condition is not met within 30 seconds.
  */
-export async function until(holds: () => Promise<boolean>, what: string): Promise<void> {
-  const giveUpAtMs = performance.now() + UNTIL_MS;
-  while (performance.now() < giveUpAtMs) {
-    if (await holds().catch(() => false)) {
+export async function until(isMet: () => Promise<boolean>, description: string): Promise<void> {
+  const deadlineAtMs = performance.now() + TIMEOUT_MS;
+  while (performance.now() < deadlineAtMs) {
+    if (await isMet().catch(() => false)) {
       return;
     }
-    await pause(LOOK_EVERY_MS);
+    await pause(CHECK_INTERVAL_MS);
   }
-  throw new Error(`Cannot wait any longer until ${what}`);
+  throw new Error(`Timed out waiting until ${description}`);
 }
 
 /**
- * Waits.
+ * Waits for a delay.
  *
- * @param delayMs - How long.
+ * @param delayMs - Delay in milliseconds.
  */
 export function pause(delayMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, delayMs));
