--- a/soak/check_run.ts
+++ b/soak/check_run.ts
@@ -1,101 +1,119 @@
 /**
- * What must hold at the end of a run.
+ * Invariants that are checked at the end of a run.
  *
  * @module
  */
 import type { CallerRecords } from "./soak_callers.js";
-import { type SoakServices, WIDE_LIMIT } from "./soak_services.js";
-import type { SoakWorld } from "./soak_world.js";
+import { REPEATABLE_SERVICE_LIMIT, type SoakServices } from "./soak_services.js";
+import type { SoakSimulation } from "./soak_simulation.js";
 
-/** Time after which a leaving leaf gets no new work, in milliseconds. */
-export const LEAVING_BOUND_MS = 3_000;
+/** Time after which a leaving leaf must receive no new calls, in milliseconds. */
+export const LEAVING_LIMIT_MS = 3_000;
 
-/** Windows that the shared limit is checked over, in milliseconds. */
+/** Lengths of the windows over which the shared limit is checked, in milliseconds. */
 const LIMIT_WINDOWS_MS = [1_000, 5_000, 20_000] as const;
 
 /**
- * Checks a run that has come to rest.
+ * Checks the invariants of a run after its quiet period.
  *
- * @param world - The world.
- * @param services - Its services.
- * @param records - What callers were told.
- * @returns A sentence for each thing that does not hold.
+ * @param simulation - The simulation.
+ * @param services - Services of the simulation.
+ * @param records - Responses that the callers received.
+ * @returns A description of each violation.
  */
 export function checkRun(
-  world: SoakWorld,
+  simulation: SoakSimulation,
   services: SoakServices,
   records: CallerRecords,
 ): ReadonlyArray<string> {
   return [
-    ...checkNotRun(world, records),
-    ...checkOnce(world, records),
-    ...checkLeaving(world),
-    ...checkConfiguration(world, services),
+    ...checkNotRun(simulation, records),
+    ...checkAtMostOnce(simulation, records),
+    ...checkLeaving(simulation),
+    ...checkConfiguration(simulation, services),
     ...checkLimit(records),
   ];
 }
 
-function checkNotRun(world: SoakWorld, records: CallerRecords): ReadonlyArray<string> {
-  const ran = new Set(world.runs.map((run) => run.mark));
+function checkNotRun(simulation: SoakSimulation, records: CallerRecords): ReadonlyArray<string> {
+  const ran = new Set(simulation.runs.map((run) => run.mark));
   return [...records.notRun]
     .filter((mark) => ran.has(mark))
-    .map((mark) => `query ${mark} was told "not run" and ran`);
+    .map((mark) => `query ${mark} was reported as not run but ran`);
 }
 
-function checkOnce(world: SoakWorld, records: CallerRecords): ReadonlyArray<string> {
+function checkAtMostOnce(
+  simulation: SoakSimulation,
+  records: CallerRecords,
+): ReadonlyArray<string> {
   const counts = new Map<string, number>();
-  for (const { mark, shard, snapshot } of world.runs) {
-    if (records.once.has(mark)) {
+  for (const { mark, shard, snapshot } of simulation.runs) {
+    if (records.atMostOnce.has(mark)) {
       const key = `${mark} ${snapshot} ${shard}`;
       counts.set(key, (counts.get(key) ?? 0) + 1);
     }
   }
   return [...counts]
     .filter(([, count]) => count > 1)
-    .map(([key, count]) => `${key} must run once at most and ran ${count} times`);
+    .map(([key, count]) => `${key} must run at most once but ran ${count} times`);
 }
 
-function checkLeaving(world: SoakWorld): ReadonlyArray<string> {
-  return world.lateWork
-    .filter(({ afterMs }) => afterMs > LEAVING_BOUND_MS)
-    .map(({ leafId, afterMs }) => `leaf ${leafId} got work ${afterMs} ms after it began to leave`);
+function checkLeaving(simulation: SoakSimulation): ReadonlyArray<string> {
+  return simulation.callsWhileLeaving
+    .filter(({ afterMs }) => afterMs > LEAVING_LIMIT_MS)
+    .map(
+      ({ leafId, afterMs }) =>
+        `leaf ${leafId} received a call ${afterMs} ms after it began to leave`,
+    );
 }
 
-function checkConfiguration(world: SoakWorld, services: SoakServices): ReadonlyArray<string> {
-  const latest = new Map(world.platform.history.map(({ key, object }) => [key, object]));
-  const nodes = world.boxes.flatMap(({ entry, pool }) => [entry, pool]);
-  const behind = nodes.flatMap((node) =>
+function checkConfiguration(
+  simulation: SoakSimulation,
+  services: SoakServices,
+): ReadonlyArray<string> {
+  const latest = new Map(simulation.platform.history.map(({ key, object }) => [key, object]));
+  const nodes = simulation.boxes.flatMap(({ entry, pool }) => [entry, pool]);
+  const outdated = nodes.flatMap((node) =>
     [...latest].flatMap(([key, object]) => {
-      const held = node.state.control.catalog.objects.get(key);
-      return node.isAlive && held?.revision !== object.revision
-        ? [`${node.self.memberId} holds ${key} at ${held?.revision}, not ${object.revision}`]
+      const used = node.state.control.catalog.objects.get(key);
+      return node.isAlive && used?.revision !== object.revision
+        ? [
+            `${node.self.memberId} uses ${key} at revision ${used?.revision}, not ${object.revision}`,
+          ]
         : [];
     }),
   );
-  const lost = [...services.accepted].flatMap(([key, accepted]) =>
+  const missing = [...services.acceptedSubmissions].flatMap(([key, accepted]) =>
     accepted
       .filter(({ revision }) => revision > (latest.get(key)?.revision ?? 0))
-      .map(({ revision }) => `${key} was told accepted at ${revision} and is not there`),
+      .map(
+        ({ revision }) =>
+          `${key} was reported as accepted at revision ${revision} but is not stored`,
+      ),
   );
-  const twice = [...services.accepted].flatMap(([key, accepted]) => {
+  const duplicate = [...services.acceptedSubmissions].flatMap(([key, accepted]) => {
     const revisions = accepted.map((each) => each.revision);
-    return new Set(revisions).size === revisions.length ? [] : [`${key} has a revision twice`];
+    return new Set(revisions).size === revisions.length
+      ? []
+      : [`${key} has two accepted submissions with the same revision`];
   });
-  return [...behind, ...lost, ...twice];
+  return [...outdated, ...missing, ...duplicate];
 }
 
 function checkLimit({ admittedAtMs }: CallerRecords): ReadonlyArray<string> {
   const times = [...admittedAtMs].sort((a, b) => a - b);
   return LIMIT_WINDOWS_MS.flatMap((windowMs) => {
-    const { requestsPerSecond, burstRequests } = WIDE_LIMIT;
-    const most = (requestsPerSecond * windowMs) / 1000 + burstRequests + 1;
+    const { requestsPerSecond, burstRequests } = REPEATABLE_SERVICE_LIMIT;
+    const maxQueries = (requestsPerSecond * windowMs) / 1000 + burstRequests + 1;
     let first = 0;
     for (const [index, atMs] of times.entries()) {
       while (atMs - (times[first] ?? atMs) > windowMs) {
         first += 1;
       }
-      if (index - first + 1 > most) {
-        return [`${index - first + 1} queries were admitted within ${windowMs} ms, over ${most}`];
+      if (index - first + 1 > maxQueries) {
+        return [
+          `${index - first + 1} queries were admitted within ${windowMs} ms, more than ${maxQueries}`,
+        ];
       }
     }
     return [];
--- a/soak/fake_leaf.ts
+++ b/soak/fake_leaf.ts
@@ -1,12 +1,12 @@
 /**
- * A leaf in virtual time, and the log of what it ran.
+ * A leaf in virtual time that records the calls it runs.
  *
  * @module
  */
 import type { Dispatch, LeafOutcome, LeafSignal } from "../pool/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
 
-/** One call that a leaf ran. */
+/** A call that a leaf ran. */
 export interface FakeRun {
   readonly leafId: string;
   readonly mark: string;
@@ -15,41 +15,41 @@
   readonly atMs: number;
 }
 
-/** What a leaf answers a call with. */
+/** Response of a leaf to a call, with the state that it signals. */
 export interface FakeAnswer {
   readonly outcome: LeafOutcome;
   readonly signal: LeafSignal | undefined;
 }
 
-interface Running {
+interface RunningCall {
   readonly cancel: () => void;
 }
 
-/** A leaf. */
+/** A simulated leaf. */
 export class FakeLeaf {
   readonly leafId: string;
   readonly #schedule: Schedule;
   readonly #slots: number;
   readonly #runs: Array<FakeRun>;
-  readonly #running = new Map<string, Running>();
+  readonly #running = new Map<string, RunningCall>();
   #inFlight = 0;
   #queue: Array<{
     readonly callId: string;
     readonly start: () => void;
-    readonly drop: () => void;
+    readonly cancel: () => void;
   }> = [];
-  /** Shards held, by snapshot. */
-  holdings: ReadonlyMap<string, ReadonlySet<string>> = new Map();
+  /** Shards that the leaf serves, by snapshot. */
+  shardsBySnapshot: ReadonlyMap<string, ReadonlySet<string>> = new Map();
   state: LeafSignal = "ready";
-  /** Since when the leaf signals that it leaves; infinite while it does not. */
+  /** Time at which the leaf began to signal that it leaves; infinite if it does not. */
   leavingSinceMs = Number.POSITIVE_INFINITY;
   isDown = false;
   misbehaviour: "none" | "other snapshot" | "other shard" | "empty" | "garbage" = "none";
   slowFactor = 1;
 
   /**
-   * @param leafId - Name of the leaf.
-   * @param options - Slots, virtual time and the log of what ran.
+   * @param leafId - Id of the leaf.
+   * @param options - Number of slots, virtual time, and the list to which calls that run are added.
    */
   constructor(
     leafId: string,
@@ -62,23 +62,26 @@
   }
 
   /**
-   * Takes a call.
+   * Runs a call when a slot is free, or refuses it.
    *
-   * @param callId - Id of the call, for taking it back.
+   * @param callId - Id of the call, by which it can be cancelled.
    * @param dispatch - The call.
-   * @param end - Told the answer once.
+   * @param onAnswer - Called exactly once, with the response.
    */
-  take(callId: string, dispatch: Dispatch, end: (answer: FakeAnswer) => void): void {
+  handleCall(callId: string, dispatch: Dispatch, onAnswer: (answer: FakeAnswer) => void): void {
     const refusal = this.#refusal(dispatch);
     if (refusal !== undefined) {
-      end({ outcome: { kind: "refused", reason: refusal, retryAfterMs: 5 }, signal: this.state });
+      onAnswer({
+        outcome: { kind: "refused", reason: refusal, retryAfterMs: 5 },
+        signal: this.state,
+      });
       return;
     }
     this.#queue.push({
       callId,
-      start: () => this.#run(callId, dispatch, end),
-      drop: () =>
-        end({
+      start: () => this.#run(callId, dispatch, onAnswer),
+      cancel: () =>
+        onAnswer({
           outcome: { kind: "refused", reason: "caller gone", retryAfterMs: 0 },
           signal: this.state,
         }),
@@ -90,7 +93,7 @@
     if (this.state !== "ready") {
       return "leaving" as const;
     }
-    const shards = this.holdings.get(snapshot);
+    const shards = this.shardsBySnapshot.get(snapshot);
     if (shards === undefined) {
       return "wrong snapshot" as const;
     }
@@ -107,19 +110,19 @@
     }
   }
 
-  #run(callId: string, dispatch: Dispatch, end: (answer: FakeAnswer) => void): void {
+  #run(callId: string, dispatch: Dispatch, onAnswer: (answer: FakeAnswer) => void): void {
     const { snapshot, shard, bodyJson } = dispatch;
     const { mark } = JSON.parse(bodyJson) as { readonly mark: string };
     const atMs = this.#schedule.nowMs;
     this.#runs.push({ leafId: this.leafId, mark, shard, snapshot, atMs });
     this.#inFlight += 1;
-    let ended = false;
+    let finished = false;
     const finish = (answer: FakeAnswer): void => {
-      if (!ended) {
-        ended = true;
+      if (!finished) {
+        finished = true;
         this.#inFlight -= 1;
         this.#running.delete(callId);
-        end(answer);
+        onAnswer(answer);
         this.#runNext();
       }
     };
@@ -130,39 +133,39 @@
           signal: this.state,
         }),
     });
-    const straggles = this.#schedule.chance(0.01) ? 20 : 1;
-    const tookMs = this.#schedule.int(2, 8) * straggles * this.slowFactor;
+    const stragglerFactor = this.#schedule.chance(0.01) ? 20 : 1;
+    const tookMs = this.#schedule.int(2, 8) * stragglerFactor * this.slowFactor;
     this.#schedule.after(tookMs, () => finish(this.#answer(dispatch, mark)));
   }
 
   #answer(dispatch: Dispatch, mark: string): FakeAnswer {
     const { rights } = dispatch;
-    const isOther = { snapshot: "other snapshot", shard: "other shard" } as const;
-    const snapshot = `${dispatch.snapshot}${this.misbehaviour === isOther.snapshot ? "x" : ""}`;
-    const shard = `${dispatch.shard}${this.misbehaviour === isOther.shard ? "x" : ""}`;
+    const misbehaviours = { snapshot: "other snapshot", shard: "other shard" } as const;
+    const snapshot = `${dispatch.snapshot}${this.misbehaviour === misbehaviours.snapshot ? "x" : ""}`;
+    const shard = `${dispatch.shard}${this.misbehaviour === misbehaviours.shard ? "x" : ""}`;
     const rows = [0, 1].map((index) => ({ index, snapshot, shard, mark, rights }));
-    const told = {
+    const answered = {
       kind: "answered",
       snapshot,
       shard,
       rowCount: rows.length,
       rowsJson: JSON.stringify(rows),
     } as const;
-    const spoilt: Readonly<Record<string, string>> = { empty: "[]", garbage: "[{" };
-    const rowsJson = spoilt[this.misbehaviour] ?? told.rowsJson;
-    return { outcome: { ...told, rowsJson }, signal: this.state };
+    const invalidRows: Readonly<Record<string, string>> = { empty: "[]", garbage: "[{" };
+    const rowsJson = invalidRows[this.misbehaviour] ?? answered.rowsJson;
+    return { outcome: { ...answered, rowsJson }, signal: this.state };
   }
 
   /**
-   * Takes a call back: one that waits is not run, one that runs is ended.
+   * Cancels a call: a queued call is not run, a running one fails.
    *
-   * @param callId - The call.
+   * @param callId - Id of the call.
    */
   cancel(callId: string): void {
     const queued = this.#queue.find((each) => each.callId === callId);
     if (queued !== undefined) {
       this.#queue = this.#queue.filter((each) => each !== queued);
-      queued.drop();
+      queued.cancel();
     }
     this.#running.get(callId)?.cancel();
   }
--- a/soak/fake_platform.ts
+++ b/soak/fake_platform.ts
@@ -1,5 +1,5 @@
 /**
- * The platform in virtual time: versions, conditional writes, outages, lost replies, old reads.
+ * The platform in virtual time: versions, conditional writes, outages, lost replies and stale reads.
  *
  * @module
  */
@@ -8,24 +8,27 @@
 import type { PlatformError, PlatformPort, VersionedObject } from "../platform/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
 
-interface Stored {
+interface HistoryEntry {
   readonly key: string;
   readonly version: number;
   readonly object: CatalogObject;
 }
 
-const UNCLEAR: PlatformError = { kind: "unclear", message: "Cannot tell: no answer" };
-const UNREACHABLE: PlatformError = { kind: "unreachable", message: "Cannot reach: refused" };
+const UNCLEAR: PlatformError = { kind: "unclear", message: "Outcome unknown: no response" };
+const UNREACHABLE: PlatformError = {
+  kind: "unreachable",
+  message: "Cannot connect: connection refused",
+};
 
-/** The platform. */
+/** A simulated platform. */
 export class FakePlatform {
   readonly #schedule: Schedule;
-  #history: ReadonlyArray<Stored> = [];
+  #history: ReadonlyArray<HistoryEntry> = [];
   #boxLists: ReadonlyArray<{ readonly atMs: number; readonly list: BoxList }> = [];
-  /** Faults in force. */
-  faults = { down: false, slowMs: 0, loseReply: 0, loseWrite: 0, staleVersions: 0, boxLagMs: 0 };
-  /** Faults that occurred. */
-  readonly occurred: Record<string, number> = {};
+  /** Active faults. */
+  faults = { down: false, slowMs: 0, lostReplies: 0, lostWrites: 0, staleVersions: 0, boxLagMs: 0 };
+  /** Number of faults that occurred, by kind. */
+  readonly eventCounts: Record<string, number> = {};
 
   /**
    * @param schedule - Virtual time.
@@ -34,18 +37,18 @@
     this.#schedule = schedule;
   }
 
-  /** Every write that took effect, oldest first. */
-  get history(): ReadonlyArray<Stored> {
+  /** All writes that took effect, oldest first. */
+  get history(): ReadonlyArray<HistoryEntry> {
     return this.#history;
   }
 
-  /** Version of the whole store. */
+  /** Current version of the store. */
   get version(): number {
     return this.#history.at(-1)?.version ?? 0;
   }
 
   /**
-   * Sets the true box list; readers see it late while it lags.
+   * Sets the box list; readers receive it late while `faults.boxLagMs` is set.
    *
    * @param boxes - The boxes.
    */
@@ -55,33 +58,36 @@
     this.#boxLists = [...this.#boxLists, { atMs: this.#schedule.nowMs, list }];
   }
 
-  /** Reads the box list as it is told now. */
+  /** Returns the box list that a reader receives now. */
   boxList(): BoxList {
-    const upToMs = this.#schedule.nowMs - this.faults.boxLagMs;
-    const seen = this.#boxLists.findLast((each) => each.atMs <= upToMs);
-    return (seen ?? this.#boxLists[0])?.list ?? { version: 1, boxes: [] };
+    const asOfMs = this.#schedule.nowMs - this.faults.boxLagMs;
+    const visible = this.#boxLists.findLast((each) => each.atMs <= asOfMs);
+    return (visible ?? this.#boxLists[0])?.list ?? { version: 1, boxes: [] };
   }
 
-  /** Reads all objects, from an old version while reads lag. */
+  /** Returns all objects, of an older version while `faults.staleVersions` is set. */
   objects(): ReadonlyArray<CatalogObject> {
-    const upTo = this.version - this.faults.staleVersions;
+    const asOfVersion = this.version - this.faults.staleVersions;
     if (this.faults.staleVersions > 0) {
-      this.#note("old read");
+      this.#countEvent("old read");
     }
     const latest = new Map(
-      this.#history.filter((each) => each.version <= upTo).map((each) => [each.key, each.object]),
+      this.#history
+        .filter((each) => each.version <= asOfVersion)
+        .map((each) => [each.key, each.object]),
     );
     return [...latest.values()];
   }
 
-  /** The platform as a submission sees it. */
+  /** Returns the port through which objects are submitted. */
   port(): PlatformPort {
     return {
-      listChanges: () => this.#answer(() => ok({ version: this.version, objects: this.objects() })),
-      readBoxList: () => this.#answer(() => ok(this.boxList())),
-      readObject: (key) => this.#answer(() => ok(this.#read(key))),
+      listChanges: () =>
+        this.#respond(() => ok({ version: this.version, objects: this.objects() })),
+      readBoxList: () => this.#respond(() => ok(this.boxList())),
+      readObject: (key) => this.#respond(() => ok(this.#read(key))),
       writeObject: (key, object, { expectedVersion }) =>
-        this.#answer(() => this.#write({ key, object, expectedVersion })),
+        this.#respond(() => this.#write({ key, object, expectedVersion })),
     };
   }
 
@@ -91,41 +97,41 @@
   }
 
   #write({ key, object, expectedVersion }: WriteOptions): Result<number, PlatformError> {
-    if (this.faults.loseWrite > 0) {
-      this.faults.loseWrite -= 1;
-      this.#note("lost write");
+    if (this.faults.lostWrites > 0) {
+      this.faults.lostWrites -= 1;
+      this.#countEvent("lost write");
       return err(UNCLEAR);
     }
     if (this.#read(key).version !== expectedVersion) {
-      this.#note("write conflict");
-      return err({ kind: "conflict", message: "Cannot write: changed" });
+      this.#countEvent("write conflict");
+      return err({ kind: "conflict", message: "Cannot write: the object has changed" });
     }
     const version = this.version + 1;
     this.#history = [...this.#history, { key, version, object }];
-    if (this.faults.loseReply > 0) {
-      this.faults.loseReply -= 1;
-      this.#note("lost reply");
+    if (this.faults.lostReplies > 0) {
+      this.faults.lostReplies -= 1;
+      this.#countEvent("lost reply");
       return err(UNCLEAR);
     }
     return ok(version);
   }
 
-  #answer<T>(act: () => Result<T, PlatformError>): ResultAsync<T, PlatformError> {
+  #respond<T>(handle: () => Result<T, PlatformError>): ResultAsync<T, PlatformError> {
     const delayMs = this.#schedule.int(1, 5) + this.faults.slowMs;
     return new ResultAsync(
       new Promise((resolve) => {
         this.#schedule.after(delayMs, () => {
           if (this.faults.down) {
-            this.#note("call in outage");
+            this.#countEvent("call in outage");
           }
-          resolve(this.faults.down ? err(UNREACHABLE) : act());
+          resolve(this.faults.down ? err(UNREACHABLE) : handle());
         });
       }),
     );
   }
 
-  #note(kind: string): void {
-    this.occurred[kind] = (this.occurred[kind] ?? 0) + 1;
+  #countEvent(kind: string): void {
+    this.eventCounts[kind] = (this.eventCounts[kind] ?? 0) + 1;
   }
 }
 
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The soak program: long seeded runs with all invariants on.
+ * Entry point of the soak: long seeded runs with all invariants enabled.
  *
  * @module
  */
@@ -12,37 +12,37 @@
 
 const { settings } = parseSettingsOrExit(USAGE, {
   seed: { kind: "number", help: "Seed of the first run", fallback: "1" },
-  steps: { kind: "number", help: "Events in each run", fallback: "100000" },
-  runs: { kind: "number", help: "Runs, each with the next seed", fallback: "1" },
+  steps: { kind: "number", help: "Minimum number of events in each run", fallback: "100000" },
+  runs: { kind: "number", help: "Number of runs, each with the next seed", fallback: "1" },
 });
 
-function say(line: string): void {
+function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-function tell(report: SoakReport): void {
-  const { seed, steps, virtualMs, runs, outcomes, occurred, leavingMs } = report;
-  say(
-    `soak: seed ${seed}, ${steps} steps, ${virtualMs} ms of virtual time, ${runs} leaf calls run`,
+function printReport(report: SoakReport): void {
+  const { seed, steps, virtualMs, leafCallCount, outcomes, eventCounts, maxLeavingMs } = report;
+  printLine(
+    `soak: seed ${seed}, ${steps} steps, ${virtualMs} ms of virtual time, ${leafCallCount} leaf calls`,
   );
-  say(`soak: answers ${JSON.stringify(outcomes)}`);
-  say(`soak: occurred ${JSON.stringify(occurred)}`);
-  say(`soak: a leaving leaf got work for ${Math.round(leavingMs)} ms at most`);
+  printLine(`soak: answers ${JSON.stringify(outcomes)}`);
+  printLine(`soak: occurred ${JSON.stringify(eventCounts)}`);
+  printLine(`soak: a leaving leaf received calls for at most ${Math.round(maxLeavingMs)} ms`);
 }
 
 for (let run = 0; run < settings.runs; run++) {
   const options = { seed: settings.seed + run, steps: settings.steps };
   const report = await runSoak(options);
-  tell(report);
-  if (report.broken.length > 0) {
-    say(`soak: seed ${options.seed} failed: ${report.broken.slice(0, 5).join("; ")}`);
+  printReport(report);
+  if (report.violations.length > 0) {
+    printLine(`soak: seed ${options.seed} failed: ${report.violations.slice(0, 5).join("; ")}`);
     const shrunk = await shrinkSoak(options, report);
-    say(`soak: shrunk to ${shrunk.faults.length} faults:`);
+    printLine(`soak: shrunk to ${shrunk.faults.length} faults:`);
     for (const fault of shrunk.faults) {
-      say(`  ${JSON.stringify(fault)}`);
+      printLine(`  ${JSON.stringify(fault)}`);
     }
-    say(`soak: it fails with ${shrunk.broken.slice(0, 5).join("; ")}`);
+    printLine(`soak: violations of the shrunk run: ${shrunk.violations.slice(0, 5).join("; ")}`);
     process.exit(1);
   }
 }
-say("soak: ok");
+printLine("soak: ok");
--- a/soak/mod.ts
+++ b/soak/mod.ts
@@ -1,5 +1,5 @@
 /**
- * A driver that runs several cores in virtual time over fakes at their ports, with seeded faults.
+ * Simulates several boxes in virtual time, with fakes at their ports and seeded faults.
  *
  * @module
  */
--- a/soak/revision_check.ts
+++ b/soak/revision_check.ts
@@ -1,32 +1,34 @@
 /**
- * Looks at the revisions in force on each daemon, which must never go down.
+ * Checks that the revisions a daemon uses never decrease.
  *
  * @module
  */
-import type { SoakWorld } from "./soak_world.js";
+import type { SoakSimulation } from "./soak_simulation.js";
 
-/** Compares revisions from look to look. */
+/** Compares the revisions of each daemon with those at the previous check. */
 export class RevisionCheck {
-  readonly #world: SoakWorld;
-  readonly #seen = new Map<string, number>();
+  readonly #simulation: SoakSimulation;
+  readonly #lastRevisions = new Map<string, number>();
 
   /**
-   * @param world - The world.
+   * @param simulation - The simulation.
    */
-  constructor(world: SoakWorld) {
-    this.#world = world;
+  constructor(simulation: SoakSimulation) {
+    this.#simulation = simulation;
   }
 
-  /** Takes one look. */
-  look(): void {
-    for (const { entry, pool } of this.#world.boxes) {
+  /** Compares all revisions and records a violation for each that decreased. */
+  check(): void {
+    for (const { entry, pool } of this.#simulation.boxes) {
       for (const node of [entry, pool]) {
         for (const [key, { revision }] of node.state.control.catalog.objects) {
-          const place = `${node.self.incarnation} ${key}`;
-          if (revision < (this.#seen.get(place) ?? 0)) {
-            this.#world.broken.push(`${node.self.memberId} went back to ${key}@${revision}`);
+          const revisionKey = `${node.self.incarnation} ${key}`;
+          if (revision < (this.#lastRevisions.get(revisionKey) ?? 0)) {
+            this.#simulation.violations.push(
+              `${node.self.memberId} uses an older revision of ${key} than before: ${revision}`,
+            );
           }
-          this.#seen.set(place, revision);
+          this.#lastRevisions.set(revisionKey, revision);
         }
       }
     }
--- a/soak/run_soak.ts
+++ b/soak/run_soak.ts
@@ -1,5 +1,5 @@
 /**
- * One run: several boxes, callers and operators in virtual time, with seeded faults.
+ * Runs several boxes, callers and operators in virtual time, with seeded faults.
  *
  * @module
  */
@@ -8,120 +8,124 @@
 import { checkRun } from "./check_run.js";
 import { RevisionCheck } from "./revision_check.js";
 import { SoakCallers } from "./soak_callers.js";
-import { bringAbout, drawFaults, type Fault } from "./soak_faults.js";
+import { type Fault, generateFaults, injectFault } from "./soak_faults.js";
 import { SoakServices } from "./soak_services.js";
-import { SoakWorld } from "./soak_world.js";
+import { SoakSimulation } from "./soak_simulation.js";
 
-/** How a run is made. */
+/** Options of a run. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Things that happen at least; the run then comes to rest. */
+  /** Number of events after which faults and queries end and the quiet period begins. */
   readonly steps: number;
-  /** Faults to bring about; by default those drawn from the seed. */
+  /** Faults to inject; generated from the seed by default. */
   readonly faults?: ReadonlyArray<Fault>;
 }
 
-/** What a run showed. */
+/** Results of a run. */
 export interface SoakReport {
   readonly seed: number;
   readonly steps: number;
   readonly virtualMs: number;
   readonly faults: ReadonlyArray<Fault>;
-  /** Faults and other events that occurred, by kind. */
-  readonly occurred: Readonly<Record<string, number>>;
+  /** Number of faults and other events that occurred, by kind. */
+  readonly eventCounts: Readonly<Record<string, number>>;
   readonly outcomes: Readonly<Record<string, number>>;
-  readonly runs: number;
-  /** Longest time after which a leaving leaf still got work, in milliseconds. */
-  readonly leavingMs: number;
-  /** A sentence for each thing that did not hold. */
-  readonly broken: ReadonlyArray<string>;
+  readonly leafCallCount: number;
+  /** Longest time after which a leaving leaf still received a call, in milliseconds. */
+  readonly maxLeavingMs: number;
+  /** Description of each violated invariant. */
+  readonly violations: ReadonlyArray<string>;
 }
 
-const BOXES = 4;
+const BOX_COUNT = 4;
 
-/** Faults are drawn for this long; a run of few steps ends before. */
-const FAULTS_UNTIL_MS = 3_600_000;
+/** Virtual time up to which faults are generated, in milliseconds; a short run ends earlier. */
+const MAX_FAULT_TIME_MS = 3_600_000;
 
-/** Time without faults at the end, longer than a leaf is held as leaving, in milliseconds. */
-const REST_MS = 45_000;
+/** Time without faults at the end, longer than a leaf is considered leaving, in milliseconds. */
+const QUIET_PERIOD_MS = 45_000;
 
-/** Time before the end at which each box is asked once more, in milliseconds. */
-const LAST_QUERIES_MS = 2_000;
+/** Time before the end at which each box receives a final query, in milliseconds. */
+const FINAL_QUERIES_MS = 2_000;
 
 /** Mean time between two queries, in milliseconds. */
-const QUERY_EVERY_MS = 12;
+const MEAN_QUERY_INTERVAL_MS = 12;
 
-/** Time between two looks at the revisions in force, in milliseconds. */
-const LOOK_EVERY_MS = 100;
+/** Interval of the revision check, in milliseconds. */
+const REVISION_CHECK_INTERVAL_MS = 100;
 
 /**
- * Runs once.
+ * Runs a simulation.
  *
- * @param options - Seed and length.
- * @returns What it showed; the same options give the same report.
+ * @param options - Seed, length and faults.
+ * @returns The report; the same options give the same report.
  */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const { seed, steps } = options;
   const schedule = new Schedule(seed);
-  const world = new SoakWorld(schedule);
-  for (let index = 0; index < BOXES; index++) {
-    world.addBox(`box-${index + 1}`, `dc-${(index % 3) + 1}`);
+  const simulation = new SoakSimulation(schedule);
+  for (let index = 0; index < BOX_COUNT; index++) {
+    simulation.addBox(`box-${index + 1}`, `dc-${(index % 3) + 1}`);
   }
-  const services = new SoakServices(world);
+  const services = new SoakServices(simulation);
   services.start();
-  const callers = new SoakCallers(world, services);
-  const faults = options.faults ?? drawFaults(seed, FAULTS_UNTIL_MS);
-  let isResting = false;
+  const callers = new SoakCallers(simulation, services);
+  const faults = options.faults ?? generateFaults(seed, MAX_FAULT_TIME_MS);
+  let isQuiet = false;
   for (const fault of faults) {
     schedule.after(fault.atMs, () => {
-      if (!isResting) {
-        bringAbout(world, services, fault);
+      if (!isQuiet) {
+        injectFault(simulation, services, fault);
       }
     });
   }
-  const call = (): void => {
-    if (!isResting) {
-      callers.call();
-      schedule.after(schedule.int(1, 2 * QUERY_EVERY_MS), call);
+  const sendQueries = (): void => {
+    if (!isQuiet) {
+      callers.sendQuery();
+      schedule.after(schedule.int(1, 2 * MEAN_QUERY_INTERVAL_MS), sendQueries);
     }
   };
-  schedule.after(2_000, call);
-  const revisions = new RevisionCheck(world);
-  const look = (): void => {
-    revisions.look();
-    schedule.after(LOOK_EVERY_MS, look);
+  schedule.after(2_000, sendQueries);
+  const revisions = new RevisionCheck(simulation);
+  const checkRevisions = (): void => {
+    revisions.check();
+    schedule.after(REVISION_CHECK_INTERVAL_MS, checkRevisions);
   };
-  schedule.after(0, look);
+  schedule.after(0, checkRevisions);
 
-  await runWhile(schedule, services, () => schedule.steps < steps && world.broken.length === 0);
-  isResting = true;
-  const restUntilMs = schedule.nowMs + REST_MS;
-  schedule.after(REST_MS - LAST_QUERIES_MS, () => callers.callEachBox());
+  await runWhile(
+    schedule,
+    services,
+    () => schedule.steps < steps && simulation.violations.length === 0,
+  );
+  isQuiet = true;
+  const endAtMs = schedule.nowMs + QUIET_PERIOD_MS;
+  schedule.after(QUIET_PERIOD_MS - FINAL_QUERIES_MS, () => callers.queryEachBox());
   await runWhile(schedule, services, () => {
-    return schedule.nowMs < restUntilMs && world.broken.length === 0;
+    return schedule.nowMs < endAtMs && simulation.violations.length === 0;
   });
-  const broken = [...world.broken, ...checkRun(world, services, callers.records)];
+  const violations = [...simulation.violations, ...checkRun(simulation, services, callers.records)];
   return {
     seed,
     steps: schedule.steps,
     virtualMs: Math.round(schedule.nowMs),
     faults: faults.filter((fault) => fault.atMs <= schedule.nowMs),
-    occurred: { ...world.occurred, ...world.platform.occurred },
+    eventCounts: { ...simulation.eventCounts, ...simulation.platform.eventCounts },
     outcomes: callers.records.outcomes,
-    runs: world.runs.length,
-    leavingMs: Math.max(0, ...world.lateWork.map((each) => each.afterMs)),
-    broken,
+    leafCallCount: simulation.runs.length,
+    maxLeavingMs: Math.max(0, ...simulation.callsWhileLeaving.map((each) => each.afterMs)),
+    violations,
   };
 }
 
 async function runWhile(
   schedule: Schedule,
   services: SoakServices,
-  goesOn: () => boolean,
+  shouldContinue: () => boolean,
 ): Promise<void> {
-  while (goesOn() && schedule.runNext()) {
-    if (services.pending > 0) {
-      // Submissions are promises; all that is settled must go on before time does.
+  while (shouldContinue() && schedule.runNext()) {
+    if (services.pendingSubmissions > 0) {
+      // Submissions are promises: settled ones must proceed before virtual time advances.
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
--- a/soak/shrink.ts
+++ b/soak/shrink.ts
@@ -1,30 +1,30 @@
 /**
- * Shrinks a failing run to few faults that still make it fail.
+ * Reduces the faults of a failing run to a smaller set with which it still fails.
  *
  * @module
  */
 import { runSoak, type SoakOptions, type SoakReport } from "./run_soak.js";
 
-const MAX_TRIES = 60;
+const MAX_ATTEMPTS = 60;
 
 /**
- * Leaves out faults, many at a time and then fewer, while the run still fails.
+ * Removes faults in chunks of decreasing size for as long as the run still fails.
  *
- * @param options - The run that failed.
- * @param failed - Its report.
+ * @param options - Options of the failed run.
+ * @param failed - Report of the failed run.
  * @returns The report of the smallest run found.
  */
 export async function shrinkSoak(options: SoakOptions, failed: SoakReport): Promise<SoakReport> {
   let best = failed;
   let chunk = Math.ceil(best.faults.length / 2);
-  let tries = 0;
-  while (chunk >= 1 && tries < MAX_TRIES) {
+  let attempts = 0;
+  while (chunk >= 1 && attempts < MAX_ATTEMPTS) {
     let shrunk = false;
-    for (let from = 0; from < best.faults.length && tries < MAX_TRIES; from += chunk) {
-      tries += 1;
+    for (let from = 0; from < best.faults.length && attempts < MAX_ATTEMPTS; from += chunk) {
+      attempts += 1;
       const faults = best.faults.toSpliced(from, chunk);
       const report = await runSoak({ ...options, faults });
-      if (report.broken.length > 0) {
+      if (report.violations.length > 0) {
         best = report;
         shrunk = true;
         break;
--- a/soak/soak_view.ts
+++ b/soak/simulation_view.ts
@@ -1,5 +1,5 @@
 /**
- * The world of a run as the effects of daemons see it.
+ * The part of the simulation that the effects of daemons act on.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { FakePlatform } from "./fake_platform.js";
 import type { EntryNode, PoolNode, SoakNetwork } from "./soak_network.js";
 
-/** A box with the daemons that run on it now. */
+/** A box with its current daemons. */
 export interface SoakBox {
   readonly box: string;
   readonly dataCentre: string;
@@ -17,21 +17,21 @@
   pool: PoolNode;
 }
 
-/** What effects act on. */
-export interface SoakView {
+/** State of the simulation that effects act on. */
+export interface SimulationView {
   readonly schedule: Schedule;
   readonly platform: FakePlatform;
   readonly boxes: ReadonlyArray<SoakBox>;
   readonly network: SoakNetwork;
   readonly leafs: ReadonlyMap<string, FakeLeaf>;
-  /** What was found wrong. */
-  readonly broken: Array<string>;
-  /** Calls that leafs took after they signalled that they leave, with how long after. */
-  readonly lateWork: Array<{ readonly leafId: string; readonly afterMs: number }>;
-  /** Counts a fault that occurred. */
-  note(kind: string): void;
-  /** Names the next request between daemons. */
-  nextRequest(): number;
-  /** Finds the daemon that runs at an address. */
+  /** Descriptions of violated invariants. */
+  readonly violations: Array<string>;
+  /** Calls sent to leafs that had begun to leave, with the time since then. */
+  readonly callsWhileLeaving: Array<{ readonly leafId: string; readonly afterMs: number }>;
+  /** Counts an event that occurred. */
+  countEvent(kind: string): void;
+  /** Returns the number of the next request between daemons. */
+  nextRequestNumber(): number;
+  /** Returns the daemon at an address. */
   nodeAt(address: PeerAddress): EntryNode | PoolNode | undefined;
 }
--- a/soak/soak_callers.ts
+++ b/soak/soak_callers.ts
@@ -1,70 +1,70 @@
 /**
- * The callers of a run, and what they check of each answer.
+ * Callers of a run, and the checks of each answer.
  *
  * @module
  */
 import type { QueryAnswer, QueryRequest } from "../model/mod.js";
-import { LEDGER, type SoakServices, WIDE } from "./soak_services.js";
-import type { SoakBox } from "./soak_view.js";
-import type { SoakWorld } from "./soak_world.js";
+import type { SoakBox } from "./simulation_view.js";
+import { NON_REPEATABLE_SERVICE, REPEATABLE_SERVICE, type SoakServices } from "./soak_services.js";
+import type { SoakSimulation } from "./soak_simulation.js";
 
-/** Rows that each shard of the fakes holds. */
+/** Number of rows of each shard of a fake leaf. */
 const ROWS_PER_SHARD = 2;
 
-/** Slack after a deadline within which the answer must be there, in milliseconds. */
-const LATE_MS = 20;
+/** Time after its deadline by which a query must be answered, in milliseconds. */
+const DEADLINE_TOLERANCE_MS = 20;
 
-/** Tries of a query that is not repeatable. */
-const TRIES = 4;
+/** Maximum number of attempts for a query that is not repeatable. */
+const MAX_ATTEMPTS = 4;
 
-/** What became of queries, to be checked at the end of a run. */
+/** Outcomes of queries, checked at the end of a run. */
 export interface CallerRecords {
-  /** Marks of queries that were told they had not run. */
+  /** Marks of queries that were reported as not run. */
   readonly notRun: Set<string>;
   /** Marks of queries that must run at most once. */
-  readonly once: Set<string>;
-  /** Moments at which the limited service took a query in. */
+  readonly atMostOnce: Set<string>;
+  /** Times at which queries that the limited service admitted were sent. */
   readonly admittedAtMs: Array<number>;
   readonly outcomes: Record<string, number>;
 }
 
-/** Callers that send queries to random boxes. */
+/** Sends queries to random boxes. */
 export class SoakCallers {
-  readonly #world: SoakWorld;
+  readonly #simulation: SoakSimulation;
   readonly #services: SoakServices;
   readonly records: CallerRecords = {
     notRun: new Set(),
-    once: new Set(),
+    atMostOnce: new Set(),
     admittedAtMs: [],
     outcomes: {},
   };
-  #marks = 0;
+  #markCount = 0;
 
   /**
-   * @param world - The world.
-   * @param services - Its services.
+   * @param simulation - The simulation.
+   * @param services - Services of the simulation.
    */
-  constructor(world: SoakWorld, services: SoakServices) {
-    this.#world = world;
+  constructor(simulation: SoakSimulation, services: SoakServices) {
+    this.#simulation = simulation;
     this.#services = services;
   }
 
-  /** Sends one query, repeatable or not. */
-  call(): void {
-    const { schedule } = this.#world;
-    const open = this.#world.boxes.filter(({ entry }) => entry.isAlive);
-    if (open.length === 0) {
+  /** Sends a query, repeatable or not. */
+  sendQuery(): void {
+    const { schedule } = this.#simulation;
+    const liveBoxes = this.#simulation.boxes.filter(({ entry }) => entry.isAlive);
+    if (liveBoxes.length === 0) {
       return;
     }
-    const box = schedule.pick(open);
+    const box = schedule.pick(liveBoxes);
     if (schedule.chance(0.2)) {
-      this.#callOnce(box);
+      this.#sendNonRepeatable(box);
       return;
     }
-    // Half of the queries carry a mark of their own, the others ask the same as their neighbours.
+    // Half of the queries have a unique mark; the others are equal to those sent at about the same time.
     const isShared = schedule.chance(0.5);
     const mark = isShared ? `hot-${Math.floor(schedule.nowMs / 50)}` : this.#newMark();
-    const request = this.#request(WIDE, mark, { repeatable: true });
+    const request = this.#request(REPEATABLE_SERVICE, mark, { repeatable: true });
     this.#send(box, request, (answer) => {
       if (answer.notRun && !isShared) {
         this.records.notRun.add(mark);
@@ -72,24 +72,27 @@
     });
   }
 
-  /** Asks each box once, in quiet times: whatever failed before, the answer must be complete. */
-  callEachBox(): void {
-    for (const box of this.#world.boxes.filter(({ entry }) => entry.isAlive)) {
+  /** Sends a query to each box after faults have ended; every answer must be complete. */
+  queryEachBox(): void {
+    for (const box of this.#simulation.boxes.filter(({ entry }) => entry.isAlive)) {
       const mark = this.#newMark();
-      const request = { ...this.#request(WIDE, mark, { repeatable: true }), deadlineMs: 400 };
+      const request = {
+        ...this.#request(REPEATABLE_SERVICE, mark, { repeatable: true }),
+        deadlineMs: 400,
+      };
       this.#send(box, request, (answer) => {
         if (answer.outcome !== "complete") {
           const { statusCode, message, coverage } = answer;
-          const told = JSON.stringify({ statusCode, message, lacking: coverage.lacking });
-          this.#broken(`${box.box} has not recovered: ${told}`, request);
+          const details = JSON.stringify({ statusCode, message, lacking: coverage.lacking });
+          this.#reportViolation(`${box.box} has not recovered: ${details}`, request);
         }
       });
     }
   }
 
   #newMark(): string {
-    this.#marks += 1;
-    return `m${this.#marks}`;
+    this.#markCount += 1;
+    return `m${this.#markCount}`;
   }
 
   #request(
@@ -97,7 +100,7 @@
     mark: string,
     options: Pick<QueryRequest, "repeatable" | "ticket" | "sequence">,
   ): QueryRequest {
-    const { schedule } = this.#world;
+    const { schedule } = this.#simulation;
     const rights = schedule.pick(["rights-a", "rights-b"]);
     return {
       service,
@@ -112,81 +115,89 @@
     };
   }
 
-  #callOnce(box: SoakBox): void {
+  #sendNonRepeatable(box: SoakBox): void {
     const mark = this.#newMark();
-    this.records.once.add(mark);
-    this.#world.askTicket(box.entry, (ticket) => {
-      const request = this.#request(LEDGER, mark, { repeatable: false, ticket, sequence: 1 });
-      this.#tryOnce(box, request, TRIES);
+    this.records.atMostOnce.add(mark);
+    this.#simulation.requestTicket(box.entry, (ticket) => {
+      const request = this.#request(NON_REPEATABLE_SERVICE, mark, {
+        repeatable: false,
+        ticket,
+        sequence: 1,
+      });
+      this.#sendAttempt(box, request, MAX_ATTEMPTS);
     });
   }
 
-  /** Repeats a query under its ticket, at the same box or another, until its outcome is told. */
-  #tryOnce(box: SoakBox, request: QueryRequest, triesLeft: number): void {
-    const { schedule } = this.#world;
+  /** Sends a query under its ticket, and repeats it at random boxes until its outcome is known. */
+  #sendAttempt(box: SoakBox, request: QueryRequest, attemptsLeft: number): void {
+    const { schedule } = this.#simulation;
     let answered = false;
-    const again = (): void => {
-      const open = this.#world.boxes.filter(({ entry }) => entry.isAlive);
-      if (triesLeft > 1 && open.length > 0) {
-        this.#tryOnce(schedule.pick(open), request, triesLeft - 1);
+    const retry = (): void => {
+      const liveBoxes = this.#simulation.boxes.filter(({ entry }) => entry.isAlive);
+      if (attemptsLeft > 1 && liveBoxes.length > 0) {
+        this.#sendAttempt(schedule.pick(liveBoxes), request, attemptsLeft - 1);
       }
     };
     this.#send(box, request, (answer) => {
       answered = true;
       if (answer.notRun || answer.outcome === "unknown") {
-        schedule.after(schedule.int(0, 100), again);
+        schedule.after(schedule.int(0, 100), retry);
       }
     });
-    // An impatient HTTP library repeats the request while the first is under way.
+    // Some HTTP clients repeat a request while the first one is still in flight.
     schedule.after(schedule.pick([5, request.deadlineMs + 50]), () => {
       if (!answered) {
-        again();
+        retry();
       }
     });
   }
 
-  #send(box: SoakBox, request: QueryRequest, then: (answer: QueryAnswer) => void): void {
-    const { schedule } = this.#world;
+  #send(box: SoakBox, request: QueryRequest, onAnswer: (answer: QueryAnswer) => void): void {
+    const { schedule } = this.#simulation;
     const { entry } = box;
     const sentAtMs = schedule.nowMs;
-    let answers = 0;
+    let answerCount = 0;
     let wasPaused = entry.isPaused;
-    this.#world.ask(entry, request, (answer) => {
-      answers += 1;
-      if (answers > 1) {
-        this.#broken("answered twice", request);
+    this.#simulation.sendQuery(entry, request, (answer) => {
+      answerCount += 1;
+      if (answerCount > 1) {
+        this.#reportViolation("answered more than once", request);
       }
-      this.#count(answer);
-      if (answer.statusCode !== 429 && answer.statusCode !== 403 && request.service === WIDE) {
-        this.#noteAdmitted(answer, sentAtMs);
+      this.#countOutcome(answer);
+      if (
+        answer.statusCode !== 429 &&
+        answer.statusCode !== 403 &&
+        request.service === REPEATABLE_SERVICE
+      ) {
+        this.#recordAdmitted(answer, sentAtMs);
       }
       this.#check(request, answer);
-      then(answer);
+      onAnswer(answer);
     });
     schedule.after(request.deadlineMs / 2, () => {
       wasPaused ||= entry.isPaused;
     });
-    schedule.after(request.deadlineMs + LATE_MS, () => {
-      wasPaused ||= entry.isPaused || this.#world.wasPaused(entry.self.incarnation);
-      if (answers === 0 && entry.isAlive && !wasPaused) {
-        this.#broken("not answered by its deadline", request);
+    schedule.after(request.deadlineMs + DEADLINE_TOLERANCE_MS, () => {
+      wasPaused ||= entry.isPaused || this.#simulation.wasPaused(entry.self.incarnation);
+      if (answerCount === 0 && entry.isAlive && !wasPaused) {
+        this.#reportViolation("not answered by its deadline", request);
       }
     });
   }
 
-  #noteAdmitted(answer: QueryAnswer, sentAtMs: number): void {
+  #recordAdmitted(answer: QueryAnswer, sentAtMs: number): void {
     if (answer.snapshot !== "") {
       this.records.admittedAtMs.push(sentAtMs);
     }
   }
 
-  #count({ outcome, statusCode }: QueryAnswer): void {
+  #countOutcome({ outcome, statusCode }: QueryAnswer): void {
     const key = `${outcome} ${statusCode}`;
     this.records.outcomes[key] = (this.records.outcomes[key] ?? 0) + 1;
   }
 
-  #broken(what: string, request: QueryRequest): void {
-    this.#world.broken.push(`${what}: ${JSON.stringify(request.body)}`);
+  #reportViolation(description: string, request: QueryRequest): void {
+    this.#simulation.violations.push(`${description}: ${JSON.stringify(request.body)}`);
   }
 
   #check(request: QueryRequest, answer: QueryAnswer): void {
@@ -195,24 +206,24 @@
     }
     const { included, lacking } = answer.coverage;
     const shards = this.#services.snapshots.get(`${request.service} ${answer.snapshot}`) ?? [];
-    const named = [...included, ...lacking.map((each) => each.shard)].sort();
-    if (JSON.stringify(named) !== JSON.stringify([...shards].sort())) {
-      this.#broken("coverage is not the snapshot's shards", request);
+    const reportedShards = [...included, ...lacking.map((each) => each.shard)].sort();
+    if (JSON.stringify(reportedShards) !== JSON.stringify([...shards].sort())) {
+      this.#reportViolation("coverage does not match the shards of the snapshot", request);
     }
     if (answer.rows.length !== included.length * ROWS_PER_SHARD) {
-      this.#broken("rows are not those of the shards included", request);
+      this.#reportViolation("row count does not match the included shards", request);
     }
     const { mark } = request.body as { readonly mark: string };
     for (const row of answer.rows) {
       if (row.mark !== mark || row.rights !== request.rights) {
-        this.#broken("a row is another caller's", request);
+        this.#reportViolation("a row belongs to another caller", request);
       }
       if (row.snapshot !== answer.snapshot || !included.includes(String(row.shard))) {
-        this.#broken("a row is of another snapshot or shard", request);
+        this.#reportViolation("a row belongs to another snapshot or shard", request);
       }
     }
     if ((answer.outcome === "complete") !== (lacking.length === 0)) {
-      this.#broken("outcome does not fit the coverage", request);
+      this.#reportViolation("outcome does not match the coverage", request);
     }
   }
 }
--- a/soak/soak_control.ts
+++ b/soak/soak_control.ts
@@ -1,50 +1,53 @@
 /**
- * Runs the control effects of daemons in a soak: exchanges, fetches, looks at the platform.
+ * Runs the control effects of daemons in a simulation: exchanges, fetches and polls of the platform.
  *
  * @module
  */
 import type { ControlEffect, ControlEvent, Exchange } from "../control/mod.js";
+import type { SimulationView } from "./simulation_view.js";
 import type { EntryNode, PoolNode } from "./soak_network.js";
-import type { SoakView } from "./soak_view.js";
 
-/** Time another daemon has for an answer, in milliseconds. */
-export const ANSWER_MS = 1_000;
+/** Time after which a request to another daemon fails, in milliseconds. */
+export const REPLY_TIMEOUT_MS = 1_000;
 
-/** Time between two looks at the platform, in milliseconds. */
-const LOOK_EVERY_MS = 200;
+/** Interval at which the platform is polled, in milliseconds. */
+const PLATFORM_POLL_INTERVAL_MS = 200;
 
 type Node = EntryNode | PoolNode;
 type Deliver = (make: (nowMs: number) => ControlEvent) => void;
-type Ran = Exclude<ControlEffect, { readonly kind: "setTimer" | "count" | "timing" }>;
+type HandledEffect = Exclude<ControlEffect, { readonly kind: "setTimer" | "count" | "timing" }>;
 
 type Handlers = {
-  readonly [K in Ran["kind"]]: (node: Node, effect: Extract<Ran, { readonly kind: K }>) => void;
+  readonly [K in HandledEffect["kind"]]: (
+    node: Node,
+    effect: Extract<HandledEffect, { readonly kind: K }>,
+  ) => void;
 };
 
-/** Control effects of all daemons. */
+/** Runs the control effects of all daemons. */
 export class SoakControl {
-  readonly #world: SoakView;
+  readonly #simulation: SimulationView;
   readonly #replies = new Map<number, (exchange: Exchange) => void>();
-  readonly #watching = new Set<string>();
+  readonly #polling = new Set<string>();
 
   /**
-   * @param world - The world that they act on.
+   * @param simulation - The simulation to act on.
    */
-  constructor(world: SoakView) {
-    this.#world = world;
+  constructor(simulation: SimulationView) {
+    this.#simulation = simulation;
   }
 
   /**
-   * Runs an effect; those that only count are passed over.
+   * Runs an effect; timers, counters and timings are ignored.
    *
    * @param node - The daemon.
    * @param effect - The effect.
    */
   run(node: Node, effect: ControlEffect): void {
-    const handler = (this.#handlers as Partial<Record<string, (node: Node, effect: Ran) => void>>)[
-      effect.kind
-    ];
-    handler?.(node, effect as Ran);
+    const handler = (
+      this.#handlers as Partial<Record<string, (node: Node, effect: HandledEffect) => void>>
+    )[effect.kind];
+    handler?.(node, effect as HandledEffect);
   }
 
   readonly #handlers: Handlers = {
@@ -54,12 +57,12 @@
       this.#replies.delete(requestId);
     },
     fetchObjects: (node, { peer: address, keys }) => {
-      const { network } = this.#world;
+      const { network } = this.#simulation;
       const { box } = node.self;
       network.send(box, address.address, () => {
-        const peer = this.#world.nodeAt(address);
-        const held = peer?.isAlive === true ? peer.state.control.catalog.objects : undefined;
-        const objects = keys.flatMap((key) => held?.get(key) ?? []);
+        const peer = this.#simulation.nodeAt(address);
+        const known = peer?.isAlive === true ? peer.state.control.catalog.objects : undefined;
+        const objects = keys.flatMap((key) => known?.get(key) ?? []);
         network.send(address.address, box, () => {
           deliverTo(node)((nowMs) => ({ kind: "objectsFetched", nowMs, objects }));
         });
@@ -67,42 +70,42 @@
     },
     watchPlatform: (node, { enabled }) => {
       if (enabled) {
-        this.#watch(node);
+        this.#poll(node);
       }
     },
     stop: (node) => {
-      this.#world.note("planned stop ended");
+      this.#simulation.countEvent("planned stop ended");
       node.isAlive = false;
-      this.#world.network.breakLinks((link) => link.entry === node || link.pool === node);
+      this.#simulation.network.closeLinks((link) => link.entry === node || link.pool === node);
     },
-    log: (node, { component: part, message, fields }) => {
-      if (part === "invariant") {
+    log: (node, { component, message, fields }) => {
+      if (component === "invariant") {
         const { memberId } = node.self;
-        this.#world.broken.push(`${memberId}: ${message} ${JSON.stringify(fields)}`);
+        this.#simulation.violations.push(`${memberId}: ${message} ${JSON.stringify(fields)}`);
       }
     },
   };
 
-  #exchange(node: Node, effect: Extract<Ran, { readonly kind: "exchange" }>): void {
-    const { network, schedule } = this.#world;
+  #exchange(node: Node, effect: Extract<HandledEffect, { readonly kind: "exchange" }>): void {
+    const { network, schedule } = this.#simulation;
     const { box } = node.self;
     const deliver = deliverTo(node);
     let settled = false;
-    schedule.after(ANSWER_MS, () => {
+    schedule.after(REPLY_TIMEOUT_MS, () => {
       if (!settled) {
         settled = true;
         deliver((nowMs) => ({ kind: "exchangeFailed", nowMs, memberId: effect.memberId }));
       }
     });
     network.send(box, effect.peer.address, () => {
-      const requestId = this.#world.nextRequest();
+      const requestId = this.#simulation.nextRequestNumber();
       this.#replies.set(requestId, (exchange) => {
         network.send(effect.peer.address, box, () => {
           settled = true;
           deliver((nowMs) => ({ kind: "exchangeAnswered", nowMs, peer: effect.peer, exchange }));
         });
       });
-      const peer = this.#world.nodeAt(effect.peer);
+      const peer = this.#simulation.nodeAt(effect.peer);
       if (peer !== undefined) {
         deliverTo(peer)((nowMs) => {
           return { kind: "exchangeArrived", nowMs, requestId, exchange: effect.exchange };
@@ -111,17 +114,17 @@
     });
   }
 
-  #watch(node: Node): void {
-    const { network, platform, schedule } = this.#world;
+  #poll(node: Node): void {
+    const { network, platform, schedule } = this.#simulation;
     const { incarnation, box } = node.self;
-    if (this.#watching.has(incarnation)) {
+    if (this.#polling.has(incarnation)) {
       return;
     }
-    this.#watching.add(incarnation);
+    this.#polling.add(incarnation);
     const deliver = deliverTo(node);
-    const look = (): void => {
+    const poll = (): void => {
       if (!node.isAlive || !node.state.control.watching) {
-        this.#watching.delete(incarnation);
+        this.#polling.delete(incarnation);
         return;
       }
       if (platform.faults.down || network.isCut(box, "platform")) {
@@ -131,13 +134,13 @@
         const boxList = platform.boxList();
         deliver((nowMs) => ({ kind: "platformAnswered", nowMs, objects, boxList, complete: true }));
       }
-      schedule.after(LOOK_EVERY_MS + platform.faults.slowMs, look);
+      schedule.after(PLATFORM_POLL_INTERVAL_MS + platform.faults.slowMs, poll);
     };
-    schedule.after(5 + platform.faults.slowMs, look);
+    schedule.after(5 + platform.faults.slowMs, poll);
   }
 }
 
-/** Both kinds of daemons take control events. */
+/** Control events are common to entries and pools, so that `deliver` of either accepts them. */
 function deliverTo(node: Node): Deliver {
   return node.deliver.bind(node) as Deliver;
 }
--- a/soak/soak_entries.ts
+++ b/soak/soak_entries.ts
@@ -1,17 +1,17 @@
 /**
- * Runs the effects of entries in a soak, and brings them queries.
+ * Runs the effects of entries in a simulation, and delivers queries to them.
  *
  * @module
  */
 import { unknownOutcome } from "../entry/answers.js";
 import type { EntryEffect } from "../entry/mod.js";
 import { ANSWER_MARGIN_MS, type QueryAnswer, type QueryRequest } from "../model/mod.js";
-import { ANSWER_MS, type SoakControl } from "./soak_control.js";
+import type { SimulationView } from "./simulation_view.js";
+import { REPLY_TIMEOUT_MS, type SoakControl } from "./soak_control.js";
 import type { EntryNode } from "./soak_network.js";
 import { timerKey } from "./soak_node.js";
-import type { SoakView } from "./soak_view.js";
 
-/** Told the answer of a query. */
+/** Receives the answer to a query. */
 export type AnswerListener = (answer: QueryAnswer) => void;
 
 type SentCall = Extract<EntryEffect, { readonly kind: "sendCall" }>["call"];
@@ -35,21 +35,21 @@
   ) => void;
 };
 
-/** Effects of all entries. */
+/** Runs the effects of all entries. */
 export class SoakEntries {
-  readonly #world: SoakView;
+  readonly #simulation: SimulationView;
   readonly #control: SoakControl;
-  readonly #answers = new Map<string, AnswerListener>();
-  readonly #asked = new Map<string, QueryRequest>();
-  readonly #tickets = new Map<string, (ticket: string) => void>();
-  readonly #loans = new Map<number, (tokens: number) => void>();
+  readonly #answerListeners = new Map<string, AnswerListener>();
+  readonly #requests = new Map<string, QueryRequest>();
+  readonly #ticketListeners = new Map<string, (ticket: string) => void>();
+  readonly #loanListeners = new Map<number, (tokens: number) => void>();
 
   /**
-   * @param world - The world that they act on.
-   * @param control - Runs the effects that all daemons have.
+   * @param simulation - The simulation to act on.
+   * @param control - Runs the effects that are common to all daemons.
    */
-  constructor(world: SoakView, control: SoakControl) {
-    this.#world = world;
+  constructor(simulation: SimulationView, control: SoakControl) {
+    this.#simulation = simulation;
     this.#control = control;
   }
 
@@ -69,33 +69,34 @@
   }
 
   /**
-   * Brings a query to an entry.
+   * Delivers a query to an entry.
    *
    * @param entry - The entry.
    * @param request - The query.
-   * @param options - Whether another entry passed it on; who is told the answer, unless the entry ends first.
+   * @param options - Whether another entry forwarded the query, and the listener, which is not called if the
+   *   entry stops first.
    */
-  arrive(
+  deliverQuery(
     entry: EntryNode,
     request: QueryRequest,
     { forwarded, listener }: { readonly forwarded: boolean; readonly listener: AnswerListener },
   ): void {
-    const queryId = `q${this.#world.nextRequest()}`;
+    const queryId = `q${this.#simulation.nextRequestNumber()}`;
     const key = `${entry.self.incarnation} ${queryId}`;
-    this.#answers.set(key, listener);
-    this.#asked.set(key, request);
+    this.#answerListeners.set(key, listener);
+    this.#requests.set(key, request);
     entry.deliver((nowMs) => ({ kind: "queryArrived", nowMs, queryId, request, forwarded }));
   }
 
   /**
-   * Asks an entry for a ticket.
+   * Requests a ticket from an entry.
    *
    * @param entry - The entry.
-   * @param give - Told the ticket; never, where the entry ends first.
+   * @param onTicket - Called with the ticket, unless the entry stops first.
    */
-  askTicket(entry: EntryNode, give: (ticket: string) => void): void {
-    const requestId = `t${this.#world.nextRequest()}`;
-    this.#tickets.set(requestId, give);
+  requestTicket(entry: EntryNode, onTicket: (ticket: string) => void): void {
+    const requestId = `t${this.#simulation.nextRequestNumber()}`;
+    this.#ticketListeners.set(requestId, onTicket);
     entry.deliver((nowMs) => ({ kind: "ticketWanted", nowMs, requestId }));
   }
 
@@ -105,13 +106,13 @@
     },
     clearTimer: (node, { timer }) => node.clearTimer(timerKey(timer)),
     sendCall: (node, { poolId, call }) => {
-      this.#stream(node, poolId, { calls: [call], cancelledCallIds: [] });
+      this.#sendToPool(node, poolId, { calls: [call], cancelledCallIds: [] });
     },
     cancelCall: (node, { poolId, callId }) => {
-      this.#stream(node, poolId, { calls: [], cancelledCallIds: [callId] });
+      this.#sendToPool(node, poolId, { calls: [], cancelledCallIds: [callId] });
     },
     openPools: (node, { pools }) => {
-      const { network, schedule } = this.#world;
+      const { network, schedule } = this.#simulation;
       for (const pool of pools) {
         schedule.after(2, () => network.openLink(node, pool.memberId));
       }
@@ -120,55 +121,55 @@
       this.#settle(`${node.self.incarnation} ${queryId}`, answer);
     },
     giveTicket: (_node, { requestId, ticket }) => {
-      this.#tickets.get(requestId)?.(ticket);
-      this.#tickets.delete(requestId);
+      this.#ticketListeners.get(requestId)?.(ticket);
+      this.#ticketListeners.delete(requestId);
     },
     forward: (node, effect) => this.#forward(node, effect),
     borrow: (node, effect) => this.#borrow(node, effect),
     replyBorrow: (_node, { requestId, tokens }) => {
-      this.#loans.get(requestId)?.(tokens);
-      this.#loans.delete(requestId);
+      this.#loanListeners.get(requestId)?.(tokens);
+      this.#loanListeners.delete(requestId);
     },
   };
 
   #settle(key: string, answer: QueryAnswer): void {
-    const listener = this.#answers.get(key);
-    this.#answers.delete(key);
-    this.#asked.delete(key);
+    const listener = this.#answerListeners.get(key);
+    this.#answerListeners.delete(key);
+    this.#requests.delete(key);
     listener?.(answer);
   }
 
-  #stream(
+  #sendToPool(
     node: EntryNode,
     poolId: string,
-    sent: {
+    message: {
       readonly calls: ReadonlyArray<SentCall>;
       readonly cancelledCallIds: ReadonlyArray<string>;
     },
   ): void {
     const entryId = node.self.incarnation;
-    this.#world.network.stream(node, poolId, (pool) => {
-      pool.deliver((nowMs) => ({ kind: "callsArrived", nowMs, entryId, ...sent }));
+    this.#simulation.network.sendOnLink(node, poolId, (pool) => {
+      pool.deliver((nowMs) => ({ kind: "callsArrived", nowMs, entryId, ...message }));
     });
   }
 
   #forward(node: EntryNode, effect: Extract<EntryEffect, { readonly kind: "forward" }>): void {
-    const { boxes, network, schedule } = this.#world;
+    const { boxes, network, schedule } = this.#simulation;
     const key = `${node.self.incarnation} ${effect.queryId}`;
-    const request = this.#asked.get(key);
+    const request = this.#requests.get(key);
     const target = boxes.find(({ box }) => box === effect.member.box)?.entry;
     if (request === undefined || target === undefined) {
       return;
     }
-    // The shell gives up on the other entry shortly before the caller's deadline.
+    // The real entry stops waiting for the other entry shortly before the caller's deadline.
     schedule.after(request.deadlineMs - ANSWER_MARGIN_MS, () => {
       if (node.isAlive) {
-        const message = "Cannot tell whether the query ran: silent";
+        const message = "Cannot tell whether the query ran: no response";
         this.#settle(key, unknownOutcome(node.state, node.nowMs, message));
       }
     });
     network.send(node.self.box, effect.member.box, () =>
-      this.arrive(target, request, {
+      this.deliverQuery(target, request, {
         forwarded: true,
         listener: (answer) =>
           network.send(effect.member.box, node.self.box, () => this.#settle(key, answer)),
@@ -177,7 +178,7 @@
   }
 
   #borrow(node: EntryNode, effect: Extract<EntryEffect, { readonly kind: "borrow" }>): void {
-    const { boxes, network, schedule } = this.#world;
+    const { boxes, network, schedule } = this.#simulation;
     const { lender, service, tokens } = effect;
     const { box } = node.self;
     let settled = false;
@@ -187,10 +188,12 @@
         node.deliver((nowMs) => ({ kind: "loanArrived", nowMs, service, tokens: lent }));
       }
     };
-    schedule.after(ANSWER_MS, () => settle(0));
+    schedule.after(REPLY_TIMEOUT_MS, () => settle(0));
     network.send(box, lender.box, () => {
-      const requestId = this.#world.nextRequest();
-      this.#loans.set(requestId, (lent) => network.send(lender.box, box, () => settle(lent)));
+      const requestId = this.#simulation.nextRequestNumber();
+      this.#loanListeners.set(requestId, (lent) =>
+        network.send(lender.box, box, () => settle(lent)),
+      );
       const target = boxes.find((each) => each.box === lender.box)?.entry;
       target?.deliver((nowMs) => ({ kind: "borrowArrived", nowMs, requestId, service, tokens }));
     });
--- a/soak/soak_faults.ts
+++ b/soak/soak_faults.ts
@@ -1,211 +1,222 @@
 /**
- * Faults of a run: drawn beforehand from the seed, so that some can be left out when a failure is
- * shrunk.
+ * Faults of a run. They are generated from the seed in advance, so that a failing run can be repeated
+ * with fewer of them.
  *
  * @module
  */
 import prand from "pure-rand";
-import { LEDGER, type SoakServices, WIDE } from "./soak_services.js";
-import type { SoakBox } from "./soak_view.js";
-import type { SoakWorld } from "./soak_world.js";
+import type { SoakBox } from "./simulation_view.js";
+import { NON_REPEATABLE_SERVICE, REPEATABLE_SERVICE, type SoakServices } from "./soak_services.js";
+import type { SoakSimulation } from "./soak_simulation.js";
 
 /** Kinds of faults. */
 export type FaultKind = keyof typeof FAULTS;
 
-/** One fault. */
+/** A planned fault. */
 export interface Fault {
   readonly atMs: number;
   readonly kind: FaultKind;
-  /** Number that picks what it strikes. */
+  /** Number that selects the target of the fault. */
   readonly pick: number;
   readonly durationMs: number;
 }
 
 interface FaultContext {
-  readonly world: SoakWorld;
+  readonly simulation: SoakSimulation;
   readonly services: SoakServices;
   readonly fault: Fault;
 }
 
-function boxOf({ world, fault }: FaultContext): SoakBox | undefined {
-  return world.boxes[fault.pick % world.boxes.length];
+function targetBox({ simulation, fault }: FaultContext): SoakBox | undefined {
+  return simulation.boxes[fault.pick % simulation.boxes.length];
 }
 
-function leafOf({ world, fault }: FaultContext) {
-  const leafs = [...world.leafs.values()];
+function targetLeaf({ simulation, fault }: FaultContext) {
+  const leafs = [...simulation.leafs.values()];
   return leafs[fault.pick % leafs.length];
 }
 
-function later({ world, fault }: FaultContext, undo: () => void): void {
-  world.schedule.after(fault.durationMs, undo);
+function scheduleUndo({ simulation, fault }: FaultContext, undo: () => void): void {
+  simulation.schedule.after(fault.durationMs, undo);
 }
 
-function pause(context: FaultContext, role: "entry" | "pool"): void {
-  const node = boxOf(context)?.[role];
+function pauseNode(context: FaultContext, role: "entry" | "pool"): void {
+  const node = targetBox(context)?.[role];
   if (node !== undefined) {
     node.pause(context.fault.durationMs);
-    context.world.notePause(node.self.incarnation);
+    context.simulation.recordPause(node.self.incarnation);
   }
 }
 
-function kill(context: FaultContext, role: "entry" | "pool"): void {
-  const box = boxOf(context);
+function killNode(context: FaultContext, role: "entry" | "pool"): void {
+  const box = targetBox(context);
   if (box?.[role].isAlive === true) {
-    context.world.kill(box, role, context.fault.durationMs);
+    context.simulation.kill(box, role, context.fault.durationMs);
   }
 }
 
 const FAULTS = {
-  "kill entry": (context: FaultContext) => kill(context, "entry"),
-  "kill pool": (context: FaultContext) => kill(context, "pool"),
-  "pause entry": (context: FaultContext) => pause(context, "entry"),
-  "pause pool": (context: FaultContext) => pause(context, "pool"),
-  "cut two boxes": ({ world, fault }: FaultContext) => {
-    const { boxes } = world;
+  "kill entry": (context: FaultContext) => killNode(context, "entry"),
+  "kill pool": (context: FaultContext) => killNode(context, "pool"),
+  "pause entry": (context: FaultContext) => pauseNode(context, "entry"),
+  "pause pool": (context: FaultContext) => pauseNode(context, "pool"),
+  "cut two boxes": ({ simulation, fault }: FaultContext) => {
+    const { boxes } = simulation;
     const one = boxes[fault.pick % boxes.length]?.box ?? "";
     const other = boxes[(fault.pick + 1) % boxes.length]?.box ?? "";
-    world.network.cut(one, other, fault.durationMs);
+    simulation.network.cut(one, other, fault.durationMs);
   },
   "cut box off": (context: FaultContext) => {
-    const own = boxOf(context)?.box ?? "";
-    for (const { box } of context.world.boxes) {
-      context.world.network.cut(own, box, context.fault.durationMs);
+    const isolated = targetBox(context)?.box ?? "";
+    for (const { box } of context.simulation.boxes) {
+      context.simulation.network.cut(isolated, box, context.fault.durationMs);
     }
-    context.world.network.cut(own, "platform", context.fault.durationMs);
+    context.simulation.network.cut(isolated, "platform", context.fault.durationMs);
   },
   "cut from platform": (context: FaultContext) => {
-    context.world.network.cut(boxOf(context)?.box ?? "", "platform", context.fault.durationMs);
+    context.simulation.network.cut(
+      targetBox(context)?.box ?? "",
+      "platform",
+      context.fault.durationMs,
+    );
   },
   outage: (context: FaultContext) => {
-    const { faults } = context.world.platform;
+    const { faults } = context.simulation.platform;
     faults.down = true;
-    later(context, () => {
+    scheduleUndo(context, () => {
       faults.down = false;
     });
   },
   "slow platform": (context: FaultContext) => {
-    const { faults } = context.world.platform;
+    const { faults } = context.simulation.platform;
     faults.slowMs = 300;
-    later(context, () => {
+    scheduleUndo(context, () => {
       faults.slowMs = 0;
     });
   },
   "old reads": (context: FaultContext) => {
-    const { faults } = context.world.platform;
+    const { faults } = context.simulation.platform;
     faults.staleVersions = 1 + (context.fault.pick % 3);
-    later(context, () => {
+    scheduleUndo(context, () => {
       faults.staleVersions = 0;
     });
   },
-  "lose replies": ({ world }: FaultContext) => {
-    world.platform.faults.loseReply += 1;
+  "lose replies": ({ simulation }: FaultContext) => {
+    simulation.platform.faults.lostReplies += 1;
   },
-  "lose writes": ({ world }: FaultContext) => {
-    world.platform.faults.loseWrite += 1;
+  "lose writes": ({ simulation }: FaultContext) => {
+    simulation.platform.faults.lostWrites += 1;
   },
   "box list lags": (context: FaultContext) => {
-    const { faults } = context.world.platform;
+    const { faults } = context.simulation.platform;
     faults.boxLagMs = 5_000;
-    later(context, () => {
+    scheduleUndo(context, () => {
       faults.boxLagMs = 0;
     });
   },
   "leaf down": (context: FaultContext) => {
-    const leaf = leafOf(context);
+    const leaf = targetLeaf(context);
     if (leaf !== undefined) {
       leaf.isDown = true;
-      later(context, () => {
+      scheduleUndo(context, () => {
         leaf.isDown = false;
       });
     }
   },
   "leaf leaves": (context: FaultContext) => {
-    const leaf = leafOf(context);
+    const leaf = targetLeaf(context);
     if (leaf !== undefined && leaf.state === "ready") {
       leaf.state = "draining";
-      leaf.leavingSinceMs = context.world.schedule.nowMs;
-      later(context, () => {
+      leaf.leavingSinceMs = context.simulation.schedule.nowMs;
+      scheduleUndo(context, () => {
         leaf.state = "ready";
         leaf.leavingSinceMs = Number.POSITIVE_INFINITY;
       });
     }
   },
   "leaf misbehaves": (context: FaultContext) => {
-    const leaf = leafOf(context);
-    const ways = ["other snapshot", "other shard", "empty", "garbage"] as const;
+    const leaf = targetLeaf(context);
+    const misbehaviours = ["other snapshot", "other shard", "empty", "garbage"] as const;
     if (leaf !== undefined) {
-      leaf.misbehaviour = ways[context.fault.pick % ways.length] ?? "empty";
-      later(context, () => {
+      leaf.misbehaviour = misbehaviours[context.fault.pick % misbehaviours.length] ?? "empty";
+      scheduleUndo(context, () => {
         leaf.misbehaviour = "none";
       });
     }
   },
   "leaf slow": (context: FaultContext) => {
-    const leaf = leafOf(context);
+    const leaf = targetLeaf(context);
     if (leaf !== undefined) {
       leaf.slowFactor = 15;
-      later(context, () => {
+      scheduleUndo(context, () => {
         leaf.slowFactor = 1;
       });
     }
   },
   repartition: ({ services, fault }: FaultContext) =>
-    services.repartition(fault.pick % 4 === 0 ? LEDGER : WIDE),
+    services.repartition(fault.pick % 4 === 0 ? NON_REPEATABLE_SERVICE : REPEATABLE_SERVICE),
   "operators race": ({ services, fault }: FaultContext) =>
-    services.race(fault.pick % 4 === 0 ? LEDGER : WIDE, 2 + (fault.pick % 2)),
+    services.submitConcurrently(
+      fault.pick % 4 === 0 ? NON_REPEATABLE_SERVICE : REPEATABLE_SERVICE,
+      2 + (fault.pick % 2),
+    ),
   "planned stop": (context: FaultContext) => {
-    const box = boxOf(context);
+    const box = targetBox(context);
     const role = context.fault.pick % 2 === 0 ? "entry" : "pool";
     const node = box?.[role];
     if (box !== undefined && node?.isAlive === true) {
       const stop = (nowMs: number) => ({ kind: "stopRequested", nowMs }) as const;
       (node as SoakBox["entry"]).deliver(stop);
-      context.world.schedule.after(2_500, () => {
+      context.simulation.schedule.after(2_500, () => {
         if (box[role] === node) {
-          context.world.kill(box, role, 200);
+          context.simulation.kill(box, role, 200);
         }
       });
     }
   },
   "noisy network": (context: FaultContext) => {
-    const { world } = context;
-    world.network.noise = { lost: 0.05, doubled: 0.05, late: 0.05 };
-    later(context, () => {
-      world.network.noise = { lost: 0, doubled: 0, late: 0 };
+    const { simulation } = context;
+    simulation.network.noise = { lost: 0.05, duplicate: 0.05, late: 0.05 };
+    scheduleUndo(context, () => {
+      simulation.network.noise = { lost: 0, duplicate: 0, late: 0 };
     });
   },
 } as const;
 
 /** Mean time between two faults, in milliseconds. */
-const FAULT_EVERY_MS = 400;
+const MEAN_FAULT_INTERVAL_MS = 400;
 
 /**
- * Draws the faults of a run.
+ * Generates the faults of a run.
  *
  * @param seed - Seed of the run.
- * @param untilMs - When faults end.
- * @returns The faults in the order of their moments.
+ * @param untilMs - Time before which faults begin, in milliseconds.
+ * @returns The faults, in order of time.
  */
-export function drawFaults(seed: number, untilMs: number): ReadonlyArray<Fault> {
+export function generateFaults(seed: number, untilMs: number): ReadonlyArray<Fault> {
   const random = prand.xoroshiro128plus(seed ^ 0x5eed);
-  const draw = (most: number) => prand.unsafeUniformIntDistribution(0, most, random);
+  const randomUpTo = (max: number) => prand.unsafeUniformIntDistribution(0, max, random);
   const kinds = Object.keys(FAULTS) as ReadonlyArray<FaultKind>;
   const faults: Array<Fault> = [];
-  for (let atMs = 3_000; atMs < untilMs; atMs += draw(2 * FAULT_EVERY_MS)) {
-    const kind = kinds[draw(kinds.length - 1)] ?? "outage";
-    faults.push({ atMs, kind, pick: draw(1_000), durationMs: 100 + draw(6_000) });
+  for (let atMs = 3_000; atMs < untilMs; atMs += randomUpTo(2 * MEAN_FAULT_INTERVAL_MS)) {
+    const kind = kinds[randomUpTo(kinds.length - 1)] ?? "outage";
+    faults.push({ atMs, kind, pick: randomUpTo(1_000), durationMs: 100 + randomUpTo(6_000) });
   }
   return faults;
 }
 
 /**
- * Brings a fault about.
+ * Injects a fault.
  *
- * @param world - The world.
- * @param services - Its services.
- * @param fault - The fault.
+ * @param simulation - The simulation.
+ * @param services - Services of the simulation.
+ * @param fault - Fault to inject.
  */
-export function bringAbout(world: SoakWorld, services: SoakServices, fault: Fault): void {
-  world.note(fault.kind);
-  FAULTS[fault.kind]({ world, services, fault });
+export function injectFault(
+  simulation: SoakSimulation,
+  services: SoakServices,
+  fault: Fault,
+): void {
+  simulation.countEvent(fault.kind);
+  FAULTS[fault.kind]({ simulation, services, fault });
 }
--- a/soak/soak_network.ts
+++ b/soak/soak_network.ts
@@ -1,5 +1,6 @@
 /**
- * The network of a run: streams between daemons, messages that may be lost, late or doubled, cuts.
+ * Simulated network: streams between daemons, messages that may be lost, delayed or duplicated, and
+ * partitions.
  *
  * @module
  */
@@ -20,29 +21,29 @@
   readonly pool: PoolNode;
 }
 
-/** What the network needs of the world. */
+/** Callbacks of the network. */
 export interface SoakNetworkOptions {
-  /** Finds the pool that runs under a name now. */
+  /** Returns the running pool with an id. */
   readonly findPool: (poolId: string) => PoolNode | undefined;
-  /** Counts a fault that occurred. */
-  readonly note: (kind: string) => void;
+  /** Counts an event that occurred. */
+  readonly countEvent: (kind: string) => void;
 }
 
-/** Time until a cut link counts as broken, in milliseconds. */
-const BROKEN_MS = 3_000;
+/** Time until a stream between partitioned boxes is closed, in milliseconds. */
+const LINK_TIMEOUT_MS = 3_000;
 
-/** The network. */
+/** A simulated network. */
 export class SoakNetwork {
   readonly #schedule: Schedule;
   readonly #options: SoakNetworkOptions;
   readonly #links = new Map<string, SoakLink>();
   readonly #cuts = new Set<string>();
-  /** Share of messages lost, doubled and late while faults are on. */
-  noise = { lost: 0, doubled: 0, late: 0 };
+  /** Shares of messages that are lost, duplicated and delayed. */
+  noise = { lost: 0, duplicate: 0, late: 0 };
 
   /**
    * @param schedule - Virtual time.
-   * @param options - What it needs of the world.
+   * @param options - Callbacks.
    */
   constructor(schedule: Schedule, options: SoakNetworkOptions) {
     this.#schedule = schedule;
@@ -50,42 +51,42 @@
   }
 
   /**
-   * Cuts two boxes off from each other, or one from the platform, for a while.
+   * Partitions two boxes, or a box and the platform, for a limited time.
    *
    * @param one - Name of a box.
-   * @param other - Name of another, or `platform`.
-   * @param durationMs - How long.
+   * @param other - Name of another box, or `platform`.
+   * @param durationMs - Duration, in milliseconds.
    */
   cut(one: string, other: string, durationMs: number): void {
     const key = cutKey(one, other);
     this.#cuts.add(key);
-    this.#schedule.after(BROKEN_MS, () => {
+    this.#schedule.after(LINK_TIMEOUT_MS, () => {
       if (this.#cuts.has(key)) {
-        this.breakLinks(({ entry, pool }) => cutKey(entry.self.box, pool.self.box) === key);
+        this.closeLinks(({ entry, pool }) => cutKey(entry.self.box, pool.self.box) === key);
       }
     });
     this.#schedule.after(durationMs, () => this.#cuts.delete(key));
   }
 
   /**
-   * Tells whether two places are cut off from each other.
+   * Returns whether two boxes, or a box and the platform, are partitioned.
    *
-   * @param one - A box.
-   * @param other - Another box, or `platform`.
-   * @returns Whether they are.
+   * @param one - Name of a box.
+   * @param other - Name of another box, or `platform`.
+   * @returns `true` if no message passes between them.
    */
   isCut(one: string, other: string): boolean {
     return one !== other && this.#cuts.has(cutKey(one, other));
   }
 
   /**
-   * Breaks streams; each is tried again after a while.
+   * Closes streams; each is reopened after a delay.
    *
-   * @param isBroken - Tells which.
+   * @param shouldClose - Selects the streams to close.
    */
-  breakLinks(isBroken: (link: SoakLink) => boolean): void {
+  closeLinks(shouldClose: (link: SoakLink) => boolean): void {
     for (const [key, link] of [...this.#links]) {
-      if (isBroken(link)) {
+      if (shouldClose(link)) {
         this.#links.delete(key);
         const { entry, pool } = link;
         const entryId = entry.self.incarnation;
@@ -98,10 +99,10 @@
   }
 
   /**
-   * Opens a stream, at once or when the pool can be reached.
+   * Opens a stream as soon as the pool is reachable.
    *
    * @param entry - The entry.
-   * @param poolId - The pool.
+   * @param poolId - Id of the pool.
    */
   openLink(entry: EntryNode, poolId: string): void {
     const pool = this.#options.findPool(poolId);
@@ -120,13 +121,13 @@
   }
 
   /**
-   * Carries a message of a stream: in order, whole, or not at all once the stream is broken.
+   * Sends a message on a stream. Messages arrive in order; they are dropped once the stream is closed.
    *
    * @param entry - The entry.
-   * @param poolId - The pool.
-   * @param carry - Delivers it.
+   * @param poolId - Id of the pool.
+   * @param deliver - Delivers the message.
    */
-  stream(entry: EntryNode, poolId: string, carry: (pool: PoolNode) => void): void {
+  sendOnLink(entry: EntryNode, poolId: string, deliver: (pool: PoolNode) => void): void {
     const key = `${entry.self.incarnation} ${poolId}`;
     const link = this.#links.get(key);
     if (link === undefined) {
@@ -134,42 +135,45 @@
     }
     this.#schedule.after(1, () => {
       if (this.#links.get(key) === link && !this.isCut(entry.self.box, link.pool.self.box)) {
-        carry(link.pool);
+        deliver(link.pool);
       }
     });
   }
 
   /**
-   * Finds a stream.
+   * Returns an open stream.
    *
    * @param entryId - Incarnation of the entry.
-   * @param poolId - The pool.
-   * @returns The stream, or nothing where it is not open.
+   * @param poolId - Id of the pool.
+   * @returns The stream, or `undefined` if it is not open.
    */
-  link(entryId: string, poolId: string): SoakLink | undefined {
+  findLink(entryId: string, poolId: string): SoakLink | undefined {
     return this.#links.get(`${entryId} ${poolId}`);
   }
 
   /**
-   * Carries a message that may be lost, late or doubled.
+   * Sends a message that may be lost, delayed or duplicated.
    *
-   * @param from - Box it comes from.
-   * @param to - Box it goes to.
-   * @param carry - Delivers it.
+   * @param from - Name of the sending box.
+   * @param to - Name of the receiving box.
+   * @param deliver - Delivers the message.
    */
-  send(from: string, to: string, carry: () => void): void {
+  send(from: string, to: string, deliver: () => void): void {
     if (this.isCut(from, to) || this.#schedule.chance(this.noise.lost)) {
-      this.#options.note("lost message");
+      this.#options.countEvent("lost message");
       return;
     }
     const isLate = this.#schedule.chance(this.noise.late);
     if (isLate) {
-      this.#options.note("late message");
+      this.#options.countEvent("late message");
     }
-    this.#schedule.after(isLate ? this.#schedule.int(20, 2_000) : this.#schedule.int(1, 3), carry);
-    if (this.#schedule.chance(this.noise.doubled)) {
-      this.#options.note("doubled message");
-      this.#schedule.after(this.#schedule.int(1, 500), carry);
+    this.#schedule.after(
+      isLate ? this.#schedule.int(20, 2_000) : this.#schedule.int(1, 3),
+      deliver,
+    );
+    if (this.#schedule.chance(this.noise.duplicate)) {
+      this.#options.countEvent("doubled message");
+      this.#schedule.after(this.#schedule.int(1, 500), deliver);
     }
   }
 }
--- a/soak/soak_node.ts
+++ b/soak/soak_node.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon in virtual time: its core, its own clock, its pauses and its end.
+ * A daemon in virtual time: its core, its clock, and its pauses.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { Member } from "../model/mod.js";
 import type { Schedule } from "../virtual_time/mod.js";
 
-/** What a daemon is made of. */
+/** Options of a {@linkcode SoakNode}. */
 export interface SoakNodeOptions<State, Event, Effect> {
   readonly self: Member;
   readonly state: State;
@@ -15,7 +15,7 @@
   readonly run: (effect: Effect) => void;
 }
 
-/** A daemon. */
+/** A simulated daemon. */
 export class SoakNode<State, Event, Effect> {
   readonly self: Member;
   readonly #schedule: Schedule;
@@ -29,37 +29,37 @@
 
   /**
    * @param schedule - Virtual time.
-   * @param options - The daemon's core.
+   * @param options - Core of the daemon.
    */
   constructor(schedule: Schedule, options: SoakNodeOptions<State, Event, Effect>) {
     this.#schedule = schedule;
     this.#options = options;
     this.self = options.self;
     this.state = options.state;
-    // No two daemons share a clock, so a moment of one's must never be read by another.
+    // Each daemon has its own clock offset: a time of one daemon is meaningless to another.
     this.#clockOffsetMs = schedule.int(0, 1_000_000);
   }
 
-  /** The daemon's own clock. */
+  /** Current time on the clock of the daemon, in milliseconds. */
   get nowMs(): number {
     return this.#schedule.nowMs + this.#clockOffsetMs;
   }
 
   /**
-   * Hands an event to the core, after its pause if it is paused; a daemon that ended drops it.
+   * Delivers an event to the core, after the pause if the daemon is paused; a stopped daemon drops it.
    *
-   * @param make - Makes the event from the daemon's own clock.
+   * @param createEvent - Creates the event from the current time on the clock of the daemon.
    */
-  deliver(make: (nowMs: number) => Event): void {
+  deliver(createEvent: (nowMs: number) => Event): void {
     if (!this.isAlive) {
       return;
     }
     const waitMs = this.#pausedUntilMs - this.#schedule.nowMs;
     if (waitMs > 0) {
-      this.#schedule.after(waitMs, () => this.deliver(make));
+      this.#schedule.after(waitMs, () => this.deliver(createEvent));
       return;
     }
-    const { state, effects } = this.#options.step(this.state, make(this.nowMs));
+    const { state, effects } = this.#options.step(this.state, createEvent(this.nowMs));
     this.state = state;
     for (const effect of effects) {
       this.#options.run(effect);
@@ -67,42 +67,42 @@
   }
 
   /**
-   * Stops the daemon for a while, timers and all.
+   * Pauses the daemon, including its timers.
    *
-   * @param durationMs - How long.
+   * @param durationMs - Duration, in milliseconds.
    */
   pause(durationMs: number): void {
     this.#pausedUntilMs = this.#schedule.nowMs + durationMs;
   }
 
-  /** Whether it is stopped for a while. */
+  /** Whether the daemon is paused. */
   get isPaused(): boolean {
     return this.#pausedUntilMs > this.#schedule.nowMs;
   }
 
   /**
-   * Sets a timer, in place of one with the same key.
+   * Sets a timer; it replaces a timer with the same key.
    *
-   * @param key - Its key.
-   * @param delayMs - Time until it goes off.
-   * @param make - Makes its event.
+   * @param key - Key of the timer.
+   * @param delayMs - Time until it fires, in milliseconds.
+   * @param createEvent - Creates its event from the current time on the clock of the daemon.
    */
-  setTimer(key: string, delayMs: number, make: (nowMs: number) => Event): void {
+  setTimer(key: string, delayMs: number, createEvent: (nowMs: number) => Event): void {
     this.#timerCount += 1;
     const number = this.#timerCount;
     this.#timers.set(key, number);
     this.#schedule.after(delayMs, () => {
       if (this.#timers.get(key) === number) {
         this.#timers.delete(key);
-        this.deliver(make);
+        this.deliver(createEvent);
       }
     });
   }
 
   /**
-   * Takes a timer back.
+   * Cancels a timer.
    *
-   * @param key - Its key.
+   * @param key - Key of the timer.
    */
   clearTimer(key: string): void {
     this.#timers.delete(key);
@@ -110,10 +110,10 @@
 }
 
 /**
- * Names a timer, so that a later one with the same name takes its place.
+ * Returns the key of a timer; timers of the same kind and id have the same key.
  *
  * @param timer - The timer.
- * @returns Its name.
+ * @returns The key.
  */
 export function timerKey(timer: { readonly kind: string; readonly id?: string }): string {
   return `${timer.kind} ${timer.id ?? ""}`;
--- a/soak/soak_pools.ts
+++ b/soak/soak_pools.ts
@@ -1,14 +1,14 @@
 /**
- * Runs the effects of pools in a soak: calls to leafs, replies to entries, probes.
+ * Runs the effects of pools in a simulation: calls to leafs, replies to entries and probes.
  *
  * @module
  */
 import type { PoolEffect } from "../pool/mod.js";
 import type { FakeLeaf } from "./fake_leaf.js";
+import type { SimulationView } from "./simulation_view.js";
 import type { SoakControl } from "./soak_control.js";
 import type { PoolNode } from "./soak_network.js";
 import { timerKey } from "./soak_node.js";
-import type { SoakView } from "./soak_view.js";
 
 type OwnKind = "setTimer" | "dispatch" | "cancelDispatch" | "reply" | "probeLeafs";
 
@@ -19,22 +19,22 @@
   ) => void;
 };
 
-type Dispatched = Extract<PoolEffect, { readonly kind: "dispatch" }>["dispatch"];
+type LeafDispatch = Extract<PoolEffect, { readonly kind: "dispatch" }>["dispatch"];
 
-/** What a leaf gives back. */
-type LeafOutcome = Parameters<Parameters<FakeLeaf["take"]>[2]>[0];
+/** Response of a leaf. */
+type LeafAnswer = Parameters<Parameters<FakeLeaf["handleCall"]>[2]>[0];
 
-/** Effects of all pools. */
+/** Runs the effects of all pools. */
 export class SoakPools {
-  readonly #world: SoakView;
+  readonly #simulation: SimulationView;
   readonly #control: SoakControl;
 
   /**
-   * @param world - The world that they act on.
-   * @param control - Runs the effects that all daemons have.
+   * @param simulation - The simulation to act on.
+   * @param control - Runs the effects that are common to all daemons.
    */
-  constructor(world: SoakView, control: SoakControl) {
-    this.#world = world;
+  constructor(simulation: SimulationView, control: SoakControl) {
+    this.#simulation = simulation;
     this.#control = control;
   }
 
@@ -60,13 +60,13 @@
     dispatch: (node, { dispatch }) => this.#dispatch(node, dispatch),
     cancelDispatch: (node, { flightId, leaf }) => {
       const callId = `${node.self.incarnation}.${flightId}`;
-      const called = this.#world.leafs.get(leaf.leafId);
-      this.#world.schedule.after(1, () => called?.cancel(callId));
+      const fakeLeaf = this.#simulation.leafs.get(leaf.leafId);
+      this.#simulation.schedule.after(1, () => fakeLeaf?.cancel(callId));
     },
     reply: (node, { entryId, results, reports }) => {
-      const { network } = this.#world;
+      const { network } = this.#simulation;
       const poolId = node.self.memberId;
-      const link = network.link(entryId, poolId);
+      const link = network.findLink(entryId, poolId);
       if (link?.pool !== node) {
         return;
       }
@@ -80,8 +80,8 @@
     },
     probeLeafs: (node, { leafs }) => {
       for (const { service, leafId } of leafs) {
-        this.#world.schedule.after(1, () => {
-          const leaf = this.#world.leafs.get(leafId);
+        this.#simulation.schedule.after(1, () => {
+          const leaf = this.#simulation.leafs.get(leafId);
           const signal = leaf === undefined || leaf.isDown ? undefined : leaf.state;
           const leafKey = `${service} ${leafId}`;
           node.deliver((nowMs) => ({ kind: "leafProbed", nowMs, leafKey, signal }));
@@ -90,37 +90,37 @@
     },
   };
 
-  #dispatch(node: PoolNode, dispatch: Dispatched): void {
-    const { leafs, network, schedule } = this.#world;
+  #dispatch(node: PoolNode, dispatch: LeafDispatch): void {
+    const { leafs, network, schedule } = this.#simulation;
     const { flightId, leaf: spec } = dispatch;
     const leaf = leafs.get(spec.leafId);
-    const end = (outcome: LeafOutcome): void => {
-      node.deliver((nowMs) => ({ kind: "leafAnswered", nowMs, flightId, ...outcome }));
+    const finish = (answer: LeafAnswer): void => {
+      node.deliver((nowMs) => ({ kind: "leafAnswered", nowMs, flightId, ...answer }));
     };
     const fail = (notSent: boolean): void =>
-      end({ outcome: { kind: "failed", reason: "leaf failed", notSent }, signal: undefined });
+      finish({ outcome: { kind: "failed", reason: "leaf failed", notSent }, signal: undefined });
     if (leaf === undefined || leaf.isDown) {
       schedule.after(1, () => fail(true));
       return;
     }
-    const sinceMs = schedule.nowMs - leaf.leavingSinceMs;
-    if (sinceMs > 0) {
-      this.#world.lateWork.push({ leafId: leaf.leafId, afterMs: sinceMs });
+    const leavingForMs = schedule.nowMs - leaf.leavingSinceMs;
+    if (leavingForMs > 0) {
+      this.#simulation.callsWhileLeaving.push({ leafId: leaf.leafId, afterMs: leavingForMs });
     }
-    const cutShare = network.noise.lost;
-    if (schedule.chance(cutShare)) {
-      this.#world.note("call cut before its write");
+    const failureRate = network.noise.lost;
+    if (schedule.chance(failureRate)) {
+      this.#simulation.countEvent("call cut before its write");
       schedule.after(1, () => fail(true));
       return;
     }
     const callId = `${node.self.incarnation}.${flightId}`;
-    const loseAnswer = schedule.chance(cutShare);
-    if (loseAnswer) {
-      this.#world.note("answer of a leaf lost");
+    const dropAnswer = schedule.chance(failureRate);
+    if (dropAnswer) {
+      this.#simulation.countEvent("answer of a leaf lost");
     }
     schedule.after(1, () =>
-      leaf.take(callId, dispatch, (answer) => {
-        schedule.after(1, () => (loseAnswer ? fail(false) : end(answer)));
+      leaf.handleCall(callId, dispatch, (answer) => {
+        schedule.after(1, () => (dropAnswer ? fail(false) : finish(answer)));
       }),
     );
   }
--- a/soak/soak_services.ts
+++ b/soak/soak_services.ts
@@ -1,50 +1,53 @@
 /**
- * The services of a run: their leafs, snapshots and what operators submit.
+ * Services of a run: their leafs, their snapshots, and the submissions of operators.
  *
  * @module
  */
 import { type SubmitOutcome, submitObject } from "../catalog/mod.js";
 import type { ObjectKind, ServiceConfig, ShardMap, SnapshotSpec } from "../model/mod.js";
 import { FakeLeaf } from "./fake_leaf.js";
-import type { SoakWorld } from "./soak_world.js";
+import type { SoakSimulation } from "./soak_simulation.js";
 
-/** Service whose queries may be run again. */
-export const WIDE = "wide";
+/** Service whose queries are repeatable. */
+export const REPEATABLE_SERVICE = "wide";
 
-/** Service whose queries may not. */
-export const LEDGER = "ledger";
+/** Service whose queries are not repeatable. */
+export const NON_REPEATABLE_SERVICE = "ledger";
 
-/** Limit of the wide service over all boxes. */
-export const WIDE_LIMIT = { requestsPerSecond: 60, burstRequests: 30 } as const;
+/** Limit of the repeatable service over all boxes. */
+export const REPEATABLE_SERVICE_LIMIT = { requestsPerSecond: 60, burstRequests: 30 } as const;
 
-const LEAF_COUNTS: Readonly<Record<string, number>> = { [WIDE]: 9, [LEDGER]: 3 };
+const LEAF_COUNTS: Readonly<Record<string, number>> = {
+  [REPEATABLE_SERVICE]: 9,
+  [NON_REPEATABLE_SERVICE]: 3,
+};
 
-/** Services of a world, with every snapshot there ever was. */
+/** Services of a simulation, with all snapshots that were published. */
 export class SoakServices {
-  readonly #world: SoakWorld;
-  /** Shards of each snapshot by service and snapshot. */
+  readonly #simulation: SoakSimulation;
+  /** Shards of each snapshot, by service and snapshot. */
   readonly snapshots = new Map<string, ReadonlyArray<string>>();
-  /** Submissions that were told accepted, by object key. */
-  readonly accepted = new Map<string, Array<{ readonly revision: number }>>();
-  /** Operators' calls that are under way. */
-  pending = 0;
+  /** Submissions that were reported as accepted, by object key. */
+  readonly acceptedSubmissions = new Map<string, Array<{ readonly revision: number }>>();
+  /** Number of submissions in flight. */
+  pendingSubmissions = 0;
   readonly #shardMaps = new Map<string, ShardMap>();
   #generation = 0;
 
   /**
-   * @param world - The world.
+   * @param simulation - The simulation.
    */
-  constructor(world: SoakWorld) {
-    this.#world = world;
+  constructor(simulation: SoakSimulation) {
+    this.#simulation = simulation;
   }
 
-  /** Makes all leafs and submits the first configurations. */
+  /** Creates all leafs and submits the initial configurations and shard maps. */
   start(): void {
     for (const [service, count] of Object.entries(LEAF_COUNTS)) {
       for (let index = 0; index < count; index++) {
         const leafId = `${service}-${index}`;
-        const { schedule, runs } = this.#world;
-        this.#world.leafs.set(leafId, new FakeLeaf(leafId, { slots: 2, schedule, runs }));
+        const { schedule, runs } = this.#simulation;
+        this.#simulation.leafs.set(leafId, new FakeLeaf(leafId, { slots: 2, schedule, runs }));
       }
       this.submit("service", service, this.#config(service, 0));
       this.repartition(service);
@@ -65,23 +68,23 @@
       })),
       policies: { retry: retries },
       limits:
-        service === WIDE
-          ? { ...WIDE_LIMIT, extraLoadShare: 0.1 }
+        service === REPEATABLE_SERVICE
+          ? { ...REPEATABLE_SERVICE_LIMIT, extraLoadShare: 0.1 }
           : { requestsPerSecond: 0, burstRequests: 100, extraLoadShare: 0.02 },
     };
   }
 
   /**
-   * Publishes a new snapshot with another number of shards; leafs hold it and the one before, and
-   * give up what is older at once, so that queries under way lose it.
+   * Publishes a snapshot with a random number of shards. Leafs serve it and the previous snapshot;
+   * older snapshots are removed immediately, also under queries in flight.
    *
-   * @param service - The service.
+   * @param service - Name of the service.
    */
   repartition(service: string): void {
     this.#generation += 1;
     const snapshot = `v${this.#generation}`;
-    const leafIds = [...this.#world.leafs.keys()].filter((each) => each.startsWith(service));
-    const shardCount = this.#world.schedule.int(4, 9);
+    const leafIds = [...this.#simulation.leafs.keys()].filter((each) => each.startsWith(service));
+    const shardCount = this.#simulation.schedule.int(4, 9);
     const shards = Array.from({ length: shardCount }, (_, index) => ({
       shard: `${snapshot}-s${index}`,
       leafIds: [0, 1].map((replica) => leafIds[(index + replica * 2) % leafIds.length] ?? ""),
@@ -91,54 +94,54 @@
       `${service} ${snapshot}`,
       shards.map((each) => each.shard),
     );
-    const before = this.#shardMaps.get(service)?.snapshots ?? [];
+    const previous = this.#shardMaps.get(service)?.snapshots ?? [];
     const shardMap: ShardMap = {
       service,
       currentSnapshot: snapshot,
-      snapshots: [...before.slice(-1), spec],
+      snapshots: [...previous.slice(-1), spec],
     };
     this.#shardMaps.set(service, shardMap);
     for (const leafId of leafIds) {
-      const leaf = this.#world.leafs.get(leafId);
+      const leaf = this.#simulation.leafs.get(leafId);
       if (leaf !== undefined) {
-        leaf.holdings = holdings(shardMap, leafId);
+        leaf.shardsBySnapshot = shardsBySnapshotOf(shardMap, leafId);
       }
     }
     this.submit("shardmap", service, shardMap);
   }
 
   /**
-   * Has operators change a service's configuration at the same moment from the same base.
+   * Submits concurrent changes of a service's configuration that are based on the same revision.
    *
-   * @param service - The service.
-   * @param operators - How many.
+   * @param service - Name of the service.
+   * @param operators - Number of operators.
    */
-  race(service: string, operators: number): void {
+  submitConcurrently(service: string, operators: number): void {
     for (let operator = 0; operator < operators; operator++) {
-      this.submit("service", service, this.#config(service, this.#world.schedule.int(0, 9)));
+      this.submit("service", service, this.#config(service, this.#simulation.schedule.int(0, 9)));
     }
   }
 
   /**
-   * Submits an object by the entry of a random box, as an operator does.
+   * Submits an object through the entry of a random box.
    *
    * @param kind - Kind of the object.
-   * @param name - Its name.
-   * @param value - Its value.
+   * @param name - Name of the object.
+   * @param value - Value of the object.
    */
   submit(kind: ObjectKind, name: string, value: unknown): void {
-    const world = this.#world;
-    const alive = world.boxes.filter(({ entry }) => entry.isAlive && !entry.isPaused);
+    const simulation = this.#simulation;
+    const alive = simulation.boxes.filter(({ entry }) => entry.isAlive && !entry.isPaused);
     if (alive.length === 0) {
       return;
     }
-    const { entry } = world.schedule.pick(alive);
+    const { entry } = simulation.schedule.pick(alive);
     const key = `${kind}/${name}`;
     const knownRevision = entry.state.control.catalog.objects.get(key)?.revision ?? 0;
-    const submissionId = `s${world.schedule.int(0, 1e9)}`;
-    this.pending += 1;
+    const submissionId = `s${simulation.schedule.int(0, 1e9)}`;
+    this.pendingSubmissions += 1;
     void submitObject(
-      world.platform.port(),
+      simulation.platform.port(),
       {
         kind,
         name,
@@ -151,8 +154,8 @@
       },
       { knownRevision, pause: () => this.#pause(300) },
     ).then((outcome) => {
-      this.pending -= 1;
-      this.#settle(key, outcome, { kind, name, value });
+      this.pendingSubmissions -= 1;
+      this.#handleOutcome(key, outcome, { kind, name, value });
       if (outcome.kind === "accepted") {
         const { object } = outcome;
         entry.deliver((nowMs) => ({ kind: "objectAccepted", nowMs, object }));
@@ -161,15 +164,15 @@
   }
 
   #platformRevision(key: string): number {
-    const held = this.#world.platform.history.findLast((each) => each.key === key);
-    return held?.object.revision ?? 0;
+    const stored = this.#simulation.platform.history.findLast((each) => each.key === key);
+    return stored?.object.revision ?? 0;
   }
 
   #pause(delayMs: number): Promise<void> {
-    return new Promise((resolve) => this.#world.schedule.after(delayMs, resolve));
+    return new Promise((resolve) => this.#simulation.schedule.after(delayMs, resolve));
   }
 
-  #settle(
+  #handleOutcome(
     key: string,
     outcome: SubmitOutcome,
     {
@@ -178,13 +181,13 @@
       value,
     }: { readonly kind: ObjectKind; readonly name: string; readonly value: unknown },
   ): void {
-    this.#world.note(`submission ${outcome.kind}`);
+    this.#simulation.countEvent(`submission ${outcome.kind}`);
     if (outcome.kind === "accepted") {
-      const known = this.accepted.get(key) ?? [];
-      this.accepted.set(key, [...known, { revision: outcome.revision }]);
+      const earlier = this.acceptedSubmissions.get(key) ?? [];
+      this.acceptedSubmissions.set(key, [...earlier, { revision: outcome.revision }]);
     } else if (kind === "shardmap") {
-      // A new snapshot must get through; its publisher goes on trying.
-      this.#world.schedule.after(500, () => {
+      // The publisher of a snapshot retries until it is accepted or replaced.
+      this.#simulation.schedule.after(500, () => {
         if (this.#shardMaps.get(name) === value) {
           this.submit(kind, name, value);
         }
@@ -193,7 +196,10 @@
   }
 }
 
-function holdings(shardMap: ShardMap, leafId: string): ReadonlyMap<string, ReadonlySet<string>> {
+function shardsBySnapshotOf(
+  shardMap: ShardMap,
+  leafId: string,
+): ReadonlyMap<string, ReadonlySet<string>> {
   return new Map(
     shardMap.snapshots.map(({ snapshot, shards }) => [
       snapshot,
--- a/soak/soak_world.ts
+++ b/soak/soak_simulation.ts
@@ -1,8 +1,9 @@
 /**
- * The world of a run: daemons, links, leafs and the platform, wired through fakes at their ports.
+ * The simulation of a run: daemons, network, leafs and the platform, connected through fakes at their
+ * ports.
  *
- * Streams between daemons lose messages only by breaking, as TCP does; all other messages may be
- * lost, late, doubled or out of order.
+ * As with TCP, messages on a stream between daemons are lost only when the stream is closed. All other
+ * messages may be lost, delayed, duplicated or reordered.
  *
  * @module
  */
@@ -13,31 +14,31 @@
 import type { Schedule } from "../virtual_time/mod.js";
 import type { FakeLeaf, FakeRun } from "./fake_leaf.js";
 import { FakePlatform } from "./fake_platform.js";
+import type { SoakBox } from "./simulation_view.js";
 import { SoakControl } from "./soak_control.js";
 import { type AnswerListener, SoakEntries } from "./soak_entries.js";
 import { type EntryNode, type PoolNode, SoakNetwork } from "./soak_network.js";
 import { SoakNode } from "./soak_node.js";
 import { SoakPools } from "./soak_pools.js";
-import type { SoakBox } from "./soak_view.js";
 
-/** Time that callers may keep advice in a run, in milliseconds. */
-const ADVICE_KEEP_MS = 500;
+/** Time for which callers may cache the address list, in milliseconds. */
+const ADDRESS_TTL_MS = 500;
 
-const PORTS: Readonly<Record<Role, number>> = { entry: 1, pool: 2 };
+const PEER_PORTS: Readonly<Record<Role, number>> = { entry: 1, pool: 2 };
 
-/** The world. */
-export class SoakWorld {
+/** A simulated fleet with its platform and leafs. */
+export class SoakSimulation {
   readonly schedule: Schedule;
   readonly platform: FakePlatform;
   readonly boxes: Array<SoakBox> = [];
   readonly leafs = new Map<string, FakeLeaf>();
   readonly runs: Array<FakeRun> = [];
-  /** What was found wrong. */
-  readonly broken: Array<string> = [];
-  /** Faults that occurred, by kind. */
-  readonly occurred: Record<string, number> = {};
-  /** Calls that leafs took after they signalled that they leave, with how long after. */
-  readonly lateWork: Array<{ readonly leafId: string; readonly afterMs: number }> = [];
+  /** Descriptions of violated invariants. */
+  readonly violations: Array<string> = [];
+  /** Number of faults and other events that occurred, by kind. */
+  readonly eventCounts: Record<string, number> = {};
+  /** Calls sent to leafs that had begun to leave, with the time since then. */
+  readonly callsWhileLeaving: Array<{ readonly leafId: string; readonly afterMs: number }> = [];
   readonly network: SoakNetwork;
   readonly #entries: SoakEntries;
   readonly #pools: SoakPools;
@@ -52,7 +53,7 @@
     this.platform = new FakePlatform(schedule);
     this.network = new SoakNetwork(schedule, {
       findPool: (poolId) => this.boxes.find(({ pool }) => pool.self.memberId === poolId)?.pool,
-      note: (kind) => this.note(kind),
+      countEvent: (kind) => this.countEvent(kind),
     });
     const control = new SoakControl(this);
     this.#entries = new SoakEntries(this, control);
@@ -60,30 +61,30 @@
   }
 
   /**
-   * Counts a fault that occurred.
+   * Counts an event that occurred.
    *
-   * @param kind - Kind of the fault.
+   * @param kind - Kind of the event.
    */
-  note(kind: string): void {
-    this.occurred[kind] = (this.occurred[kind] ?? 0) + 1;
+  countEvent(kind: string): void {
+    this.eventCounts[kind] = (this.eventCounts[kind] ?? 0) + 1;
   }
 
   readonly #paused = new Set<string>();
 
   /**
-   * Notes that a daemon was stopped for a while at some time.
+   * Records that a daemon was paused.
    *
-   * @param incarnation - The daemon.
+   * @param incarnation - Incarnation of the daemon.
    */
-  notePause(incarnation: string): void {
+  recordPause(incarnation: string): void {
     this.#paused.add(incarnation);
   }
 
   /**
-   * Tells whether a daemon was ever stopped for a while.
+   * Returns whether a daemon was ever paused.
    *
-   * @param incarnation - The daemon.
-   * @returns Whether it was.
+   * @param incarnation - Incarnation of the daemon.
+   * @returns `true` if the daemon was paused at any time.
    */
   wasPaused(incarnation: string): boolean {
     return this.#paused.has(incarnation);
@@ -92,26 +93,26 @@
   /**
    * Starts a box.
    *
-   * @param box - Its name.
-   * @param dataCentre - Where it stands.
+   * @param box - Name of the box.
+   * @param dataCentre - Data centre of the box.
    */
   addBox(box: string, dataCentre: string): void {
     const entry = this.#startEntry(box, dataCentre);
     const pool = this.#startPool(box, dataCentre);
     this.boxes.push({ box, dataCentre, entry, pool });
-    this.listBoxes();
+    this.publishBoxes();
   }
 
-  /** Tells the platform which boxes there are. */
-  listBoxes(): void {
+  /** Publishes the box list to the platform. */
+  publishBoxes(): void {
     this.platform.setBoxes(
       this.boxes.map(({ box, dataCentre }) => ({
         box,
         dataCentre,
         address: box,
         leaving: false,
-        entryPeerPort: PORTS.entry,
-        poolPeerPort: PORTS.pool,
+        entryPeerPort: PEER_PORTS.entry,
+        poolPeerPort: PEER_PORTS.pool,
       })),
     );
   }
@@ -128,7 +129,7 @@
       box,
       dataCentre,
       address: box,
-      peerPort: PORTS[role],
+      peerPort: PEER_PORTS[role],
       callerPort: role === "entry" ? 3 : 0,
     };
   }
@@ -137,8 +138,8 @@
     const seeds = this.boxes
       .filter(({ box }) => box !== self.box)
       .slice(0, 2)
-      .map(({ box }) => ({ address: box, peerPort: PORTS.entry }));
-    return { self, seeds, adviceKeepMs: ADVICE_KEEP_MS };
+      .map(({ box }) => ({ address: box, peerPort: PEER_PORTS.entry }));
+    return { self, seeds, adviceKeepMs: ADDRESS_TTL_MS };
   }
 
   #startEntry(box: string, dataCentre: string): EntryNode {
@@ -166,16 +167,16 @@
   }
 
   /**
-   * Ends a daemon at once and starts it anew, as another incarnation, after a while.
+   * Kills a daemon and starts it again, as another incarnation, after a delay.
    *
-   * @param box - Its box.
-   * @param role - Its role.
-   * @param restartMs - Time until it starts anew.
+   * @param box - Box of the daemon.
+   * @param role - Role of the daemon.
+   * @param restartMs - Time until it starts again, in milliseconds.
    */
   kill(box: SoakBox, role: Role, restartMs: number): void {
     const node = box[role];
     node.isAlive = false;
-    this.network.breakLinks((link) => link.entry === node || link.pool === node);
+    this.network.closeLinks((link) => link.entry === node || link.pool === node);
     this.schedule.after(restartMs, () => {
       if (role === "entry") {
         box.entry = this.#startEntry(box.box, box.dataCentre);
@@ -186,14 +187,14 @@
   }
 
   /**
-   * Finds the daemon at an address.
+   * Returns the daemon at an address.
    *
-   * @param peer - Its address and port.
-   * @returns The daemon that runs there now, or nothing where there is none.
+   * @param peer - Address and port of the daemon.
+   * @returns The current daemon, or `undefined` if there is none.
    */
   nodeAt({ address, peerPort }: PeerAddress): EntryNode | PoolNode | undefined {
     const box = this.boxes.find((each) => each.box === address);
-    return peerPort === PORTS.entry ? box?.entry : box?.pool;
+    return peerPort === PEER_PORTS.entry ? box?.entry : box?.pool;
   }
 
   /**
@@ -201,24 +202,24 @@
    *
    * @param entry - The entry.
    * @param request - The query.
-   * @param listener - Told the answer; never, where the entry ends first.
+   * @param listener - Called with the answer, unless the entry stops first.
    */
-  ask(entry: EntryNode, request: QueryRequest, listener: AnswerListener): void {
-    this.#entries.arrive(entry, request, { forwarded: false, listener });
+  sendQuery(entry: EntryNode, request: QueryRequest, listener: AnswerListener): void {
+    this.#entries.deliverQuery(entry, request, { forwarded: false, listener });
   }
 
   /**
-   * Asks an entry for a ticket.
+   * Requests a ticket from an entry.
    *
    * @param entry - The entry.
-   * @param give - Told the ticket; never, where the entry ends first.
+   * @param onTicket - Called with the ticket, unless the entry stops first.
    */
-  askTicket(entry: EntryNode, give: (ticket: string) => void): void {
-    this.#entries.askTicket(entry, give);
+  requestTicket(entry: EntryNode, onTicket: (ticket: string) => void): void {
+    this.#entries.requestTicket(entry, onTicket);
   }
 
-  /** Numbers the requests of a run. */
-  nextRequest(): number {
+  /** Returns the number of the next request between daemons. */
+  nextRequestNumber(): number {
     this.#requests += 1;
     return this.#requests;
   }
