--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 /**
- * The demo: three boxes, stand-ins and the bidscope service, all as separate processes. A query is
- * answered in full, one under a killed pool, and one that lacks a shard and says so. Each answer is
- * checked row by row.
+ * Demo: three boxes, the stand-ins and the bidscope service, as separate processes. It sends a query,
+ * a second one while a pool is killed, and a third one without any leaf for one shard, and checks the
+ * coverage and the rows of each answer.
  *
  * @module
  */
@@ -13,11 +13,11 @@
 const SHAPE = SAMPLE_SHAPES.bidscope;
 const MERGE = { orderBy: "price", limitRows: 10 } as const;
 
-function say(text: string): void {
+function printLine(text: string): void {
   process.stdout.write(`demo: ${text}\n`);
 }
 
-async function ask(fleet: Fleet, title: string): Promise<QueryAnswer> {
+async function sendQuery(fleet: Fleet, title: string): Promise<QueryAnswer> {
   const { body } = await postJson(`${urlOf(fleet.boxes[0]?.entry)}/v1/services/bidscope/query`, {
     caller: "trader-1",
     deadlineMs: 2_000,
@@ -27,48 +27,54 @@
   const answer = body as QueryAnswer;
   const { included, lacking } = answer.coverage;
   const missing = lacking.map((each) => `${each.shard} (${each.reason})`).join(", ") || "none";
-  say(`${title}: ${answer.outcome}, snapshot ${answer.snapshot}, revision ${answer.revision}`);
-  say(`  included ${included.length} shards, lacking ${missing}`);
-  say(`  best rows ${answer.rows.map((row) => `${row.shard}=${row.price}`).join(" ")}`);
+  printLine(
+    `${title}: ${answer.outcome}, snapshot ${answer.snapshot}, revision ${answer.revision}`,
+  );
+  printLine(`  included ${included.length} shards, missing ${missing}`);
+  printLine(`  best rows ${answer.rows.map((row) => `${row.shard}=${row.price}`).join(" ")}`);
   return answer;
 }
 
-/** Rows that the answer must hold, worked out anew from the shards it says are included. */
+/** Computes the rows that the answer must contain, from the shards that it reports as included. */
 function expectedRows({ coverage, snapshot }: QueryAnswer) {
-  const parts = coverage.included.map((shard) =>
+  const shardResults = coverage.included.map((shard) =>
     shardRows(SHAPE.service, { snapshot, shard }, SHAPE.rowsPerShard),
   );
-  return mergeRows(parts, MERGE);
+  return mergeRows(shardResults, MERGE);
 }
 
-function check(answer: QueryAnswer, lacking: ReadonlyArray<string>): void {
-  const found = answer.coverage.lacking.map((each) => each.shard);
-  if (JSON.stringify(found) !== JSON.stringify(lacking)) {
-    throw new Error(`Cannot accept the answer: lacks ${found.join(", ")}`);
+function checkAnswer(answer: QueryAnswer, expectedLacking: ReadonlyArray<string>): void {
+  const reportedLacking = answer.coverage.lacking.map((each) => each.shard);
+  if (JSON.stringify(reportedLacking) !== JSON.stringify(expectedLacking)) {
+    throw new Error(`Wrong answer: reported as missing: ${reportedLacking.join(", ")}`);
   }
-  if (answer.coverage.included.length !== 40 - lacking.length) {
-    throw new Error("Cannot accept the answer: its coverage is not all of the shards");
+  if (answer.coverage.included.length !== 40 - expectedLacking.length) {
+    throw new Error("Wrong answer: its coverage does not list every shard");
   }
   if (JSON.stringify(answer.rows) !== JSON.stringify(expectedRows(answer))) {
-    throw new Error("Cannot accept the answer: its rows are not those of its shards");
+    throw new Error("Wrong answer: its rows do not match those of the included shards");
   }
 }
 
-async function loseShard(fleet: Fleet, config: ServiceConfig, shardMap: ShardMap): Promise<string> {
+async function disableShard(
+  fleet: Fleet,
+  config: ServiceConfig,
+  shardMap: ShardMap,
+): Promise<string> {
   const [spec] = shardMap.snapshots[0]?.shards ?? [];
-  const lost = new Set(spec?.leafIds);
-  say(
-    `ends leafs ${[...lost].join(" and ")} of ${config.service}, which hold shard ${spec?.shard}`,
+  const leafIds = new Set(spec?.leafIds);
+  printLine(
+    `disables leafs ${[...leafIds].join(" and ")} of ${config.service}, all replicas of shard ${spec?.shard}`,
   );
   await fleet.changeLeafs("bidscope", {});
-  for (const leafId of lost) {
+  for (const leafId of leafIds) {
     await fleet.changeLeafs(leafId, { misbehaviour: "hang up" });
   }
   return spec?.shard ?? "";
 }
 
 async function run(): Promise<void> {
-  say("starts a platform, backend servers and three boxes with an entry and a pool each");
+  printLine("starts a platform, backend servers and three boxes with an entry and a pool each");
   const fleet = await Fleet.start({
     boxes: 3,
     dataCentres: SHAPE.dataCentres,
@@ -78,15 +84,15 @@
   });
   try {
     const { config, shardMap } = await fleet.addService(SHAPE);
-    say("bidscope is in force on every box: 20 backend servers, 40 leafs, 40 shards");
-    check(await ask(fleet, "a query over all shards"), []);
+    printLine("bidscope is configured on every box: 20 backend servers, 40 leafs, 40 shards");
+    checkAnswer(await sendQuery(fleet, "a query over all shards"), []);
 
-    const asked = ask(fleet, "a query under a killed pool");
+    const pendingAnswer = sendQuery(fleet, "a query while a pool is killed");
     fleet.boxes[1]?.pool.signal("SIGKILL");
-    check(await asked, []);
+    checkAnswer(await pendingAnswer, []);
 
-    const shard = await loseShard(fleet, config, shardMap);
-    check(await ask(fleet, "a query that lacks a shard"), [shard]);
+    const shard = await disableShard(fleet, config, shardMap);
+    checkAnswer(await sendQuery(fleet, "a query that lacks a shard"), [shard]);
   } finally {
     await fleet.stop();
   }
