--- a/bench/load_thread.ts
+++ b/bench/load_thread.ts
@@ -1,5 +1,5 @@
 /**
- * Sends one kind of query from a thread of its own.
+ * Worker thread that sends the queries of one kind.
  *
  * @module
  */
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The bench: scenarios over real processes and stand-in leafs, rackvale and the naive mode in one
- * run.
+ * Benchmark: runs scenarios on real processes with simulated leafs, and compares rackvale with the
+ * naive mode.
  *
  * @module
  */
@@ -20,12 +20,12 @@
   urlOf,
 } from "../standins/mod.js";
 import { type LoadResult, type PlannedQuery, sendLoad, steadyLoad } from "./open_loop.js";
-import { type BenchRow, plotOf, ratiosOf, tableOf } from "./report.js";
+import { type BenchRow, formatRatios, formatTable, renderPlot } from "./report.js";
 import { SCENARIOS, type Scenario } from "./scenarios.js";
 
 const BOXES = 3;
 const BACKEND_PROCESSES = 2;
-const ADVICE_KEEP_MS = 1_000;
+const ADDRESS_TTL_MS = 1_000;
 const SETTLE_MS = 1_500;
 const WARM_UP_MS = 8_000;
 const WARM_UP_RATE = 25;
@@ -35,33 +35,37 @@
   seed: { kind: "number", help: "Seed of the stand-ins", fallback: "1" },
   only: {
     kind: "text",
-    help: "Runs only the scenarios whose name holds one of these, with commas",
+    help: "Runs only scenarios whose name contains one of these comma-separated texts",
     fallback: "",
   },
   json: { kind: "text", help: "File for the results as JSON; empty for none", fallback: "" },
   plot: { kind: "text", help: "File for the plot as SVG; empty for none", fallback: "" },
-  "log-level": { kind: "text", help: "Least level of the daemons' log lines", fallback: "info" },
+  "log-level": {
+    kind: "text",
+    help: "Minimum level of the log lines of the daemons",
+    fallback: "info",
+  },
 });
 
-function say(line: string): void {
+function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-/** Keeps the advised entries as a caller does. */
-class Advice {
+/** Refreshes the list of entry addresses periodically, as a caller does. */
+class EntryAddresses {
   #urls: ReadonlyArray<string>;
   readonly #timer: NodeJS.Timeout;
 
   constructor(urls: ReadonlyArray<string>) {
     this.#urls = urls;
-    this.#timer = setInterval(() => void this.#renew(), ADVICE_KEEP_MS / 2);
+    this.#timer = setInterval(() => void this.#refresh(), ADDRESS_TTL_MS / 2);
   }
 
   get urls(): ReadonlyArray<string> {
     return this.#urls;
   }
 
-  async #renew(): Promise<void> {
+  async #refresh(): Promise<void> {
     for (const url of this.#urls) {
       try {
         const { entries } = (await getJson(`${url}/v1/entries`)) as {
@@ -70,7 +74,7 @@
         this.#urls = entries.map(({ address, port }) => `http://${address}:${port}`);
         return;
       } catch {
-        // The next of the entries advised last is asked.
+        // Try the next entry of the last list.
       }
     }
   }
@@ -80,7 +84,7 @@
   }
 }
 
-async function leafCalls(fleet: Fleet, service: string): Promise<number> {
+async function countLeafCalls(fleet: Fleet, service: string): Promise<number> {
   const stats = (await fleet.askBackends("/admin/stats")) as ReadonlyArray<
     Readonly<Record<string, { readonly calls: number }>>
   >;
@@ -90,16 +94,18 @@
     .reduce((sum, [, { calls }]) => sum + calls, 0);
 }
 
-/** CPU that the daemons of each role have spent, in microseconds. */
-async function cpuByRole(fleet: Fleet): Promise<{ readonly entry: number; readonly pool: number }> {
+/** Returns the total CPU time of the daemons of each role, in microseconds. */
+async function readCpuByRole(
+  fleet: Fleet,
+): Promise<{ readonly entry: number; readonly pool: number }> {
   const { daemons } = (await getJson(`${urlOf(fleet.boxes[0]?.entry)}/v1/status`)) as {
     readonly daemons: ReadonlyArray<{ readonly report?: DaemonReport }>;
   };
-  const spent = (role: "entry" | "pool") =>
+  const cpuMicrosOf = (role: "entry" | "pool") =>
     daemons
       .filter(({ report }) => report?.member.role === role)
       .reduce((sum, { report }) => sum + (report?.process.cpuMicros ?? 0), 0);
-  return { entry: spent("entry"), pool: spent("pool") };
+  return { entry: cpuMicrosOf("entry"), pool: cpuMicrosOf("pool") };
 }
 
 async function runMode(
@@ -107,20 +113,20 @@
   scenario: Scenario,
   { mode, urls }: { readonly mode: BenchRow["mode"]; readonly urls: () => ReadonlyArray<string> },
 ): Promise<ReadonlyArray<BenchRow>> {
-  await scenario.before?.(fleet);
+  await scenario.setUp?.(fleet);
   await pause(SETTLE_MS);
-  const callsBefore = await leafCalls(fleet, scenario.service);
-  const cpuBefore = await cpuByRole(fleet);
-  const acts = (scenario.acts ?? []).map(async ({ atMs, run }) => {
+  const callsBefore = await countLeafCalls(fleet, scenario.service);
+  const cpuBefore = await readCpuByRole(fleet);
+  const actions = (scenario.actions ?? []).map(async ({ atMs, run }) => {
     await pause(atMs);
     await run(fleet);
   });
   const results = await sendByKind(scenario, urls);
-  await Promise.all(acts);
-  const calls = (await leafCalls(fleet, scenario.service)) - callsBefore;
-  const cpuAfter = await cpuByRole(fleet);
+  await Promise.all(actions);
+  const calls = (await countLeafCalls(fleet, scenario.service)) - callsBefore;
+  const cpuAfter = await readCpuByRole(fleet);
   const cpuMicrosPerCall =
-    mode === "naive" || scenario.movesEntries === true
+    mode === "naive" || scenario.replacesEntries === true
       ? undefined
       : {
           entry: (cpuAfter.entry - cpuBefore.entry) / calls,
@@ -128,30 +134,31 @@
         };
   if (cpuMicrosPerCall !== undefined) {
     const { entry, pool } = cpuMicrosPerCall;
-    say(`bench: CPU a leaf call: entry ${entry.toFixed(0)} us, pool ${pool.toFixed(0)} us`);
+    printLine(`bench: CPU per leaf call: entry ${entry.toFixed(0)} us, pool ${pool.toFixed(0)} us`);
   }
-  await scenario.after?.(fleet);
+  await scenario.tearDown?.(fleet);
   await pause(SETTLE_MS);
-  const needed = neededCalls(scenario.load, results, shardsOf(scenario.service));
+  const minCalls = countMinCalls(scenario.load, results, shardCountOf(scenario.service));
   return Object.entries(results).map(([kind, result]) => ({
     scenario: scenario.name,
     kind,
     mode,
     result,
-    extraLoadShare: calls / Math.max(1, needed) - 1,
+    extraLoadShare: calls / Math.max(1, minCalls) - 1,
     cpuMicrosPerCall,
   }));
 }
 
 /**
- * Sends each kind of query from a thread of its own, so that one kind's answers do not hold up the
- * clock of another; a scenario that moves entries needs the advice and stays on this thread.
+ * Sends each kind of query from a separate thread, so that processing the answers of one kind does not
+ * delay the queries of another. A scenario that replaces entries needs the refreshed addresses and is
+ * sent from this thread.
  */
 async function sendByKind(
-  { load, movesEntries = false }: Scenario,
+  { load, replacesEntries = false }: Scenario,
   urls: () => ReadonlyArray<string>,
 ): Promise<Readonly<Record<string, LoadResult>>> {
-  if (movesEntries) {
+  if (replacesEntries) {
     return sendLoad(load, { entries: urls });
   }
   const kinds = [...new Set(load.map((query) => query.kind))];
@@ -177,24 +184,24 @@
   });
 }
 
-function shardsOf(service: Scenario["service"]): number {
+function shardCountOf(service: Scenario["service"]): number {
   const { instances, leafsPerInstance } = SAMPLE_SHAPES[service];
   return instances * leafsPerInstance;
 }
 
-/** One call for each shard of each query that was not refused as not run. */
-function neededCalls(
+/** Computes the minimum number of leaf calls: one for each shard of each query that was not refused. */
+function countMinCalls(
   load: ReadonlyArray<PlannedQuery>,
   results: Readonly<Record<string, LoadResult>>,
-  shards: number,
+  shardCount: number,
 ): number {
-  const refused = Object.values(results).reduce((sum, each) => sum + each.refusedNotRun, 0);
-  return (load.length - refused) * shards;
+  const refusedCount = Object.values(results).reduce((sum, each) => sum + each.refusedNotRun, 0);
+  return (load.length - refusedCount) * shardCount;
 }
 
-/** Lets both modes' programs be compiled and their connections be opened before anything counts. */
+/** Sends load to both modes before the measurement, so that code is compiled and connections are open. */
 async function warmUp(modes: ReadonlyArray<ReadonlyArray<string>>): Promise<void> {
-  say("bench: warms both modes up");
+  printLine("bench: warming up both modes");
   for (const urls of modes) {
     const load = SERVICES.flatMap((service) =>
       steadyLoad({
@@ -224,9 +231,9 @@
   return entries;
 }
 
-function chosenScenarios(): ReadonlyArray<Scenario> {
+function selectScenarios(): ReadonlyArray<Scenario> {
   const names = settings.only.split(",");
-  return SCENARIOS.filter(({ name }) => names.some((part) => name.includes(part)));
+  return SCENARIOS.filter(({ name }) => names.some((text) => name.includes(text)));
 }
 
 const startedAtMs = performance.now();
@@ -234,7 +241,7 @@
   boxes: BOXES,
   dataCentres: SAMPLE_SHAPES.bidscope.dataCentres,
   seed: settings.seed,
-  adviceKeepMs: ADVICE_KEEP_MS,
+  adviceKeepMs: ADDRESS_TTL_MS,
   backendProcesses: BACKEND_PROCESSES,
   logLevel: settings["log-level"],
 });
@@ -242,7 +249,7 @@
 try {
   const services: Array<object> = [];
   for (const name of SERVICES) {
-    // The best few are given early to urgent queries; all others wait for every shard.
+    // Urgent queries finish early, with 90 % of the shards; all others wait for every shard.
     const policies = { finish: "request.priority == 'urgent' ? 0.9 : 1.0" };
     services.push(
       await fleet.addService(SAMPLE_SHAPES[name], (config) => ({ ...config, policies })),
@@ -250,16 +257,18 @@
   }
   const naive = await startNaive(services);
   await warmUp([fleet.boxes.map((box) => urlOf(box.entry)), naive.map(urlOf)]);
-  for (const scenario of chosenScenarios()) {
-    say(`bench: ${scenario.name}: ${scenario.what}`);
-    const advice = new Advice(fleet.boxes.map((box) => urlOf(box.entry)));
-    rows.push(...(await runMode(fleet, scenario, { mode: "rackvale", urls: () => advice.urls })));
-    advice.stop();
+  for (const scenario of selectScenarios()) {
+    printLine(`bench: ${scenario.name}: ${scenario.description}`);
+    const addresses = new EntryAddresses(fleet.boxes.map((box) => urlOf(box.entry)));
+    rows.push(
+      ...(await runMode(fleet, scenario, { mode: "rackvale", urls: () => addresses.urls })),
+    );
+    addresses.stop();
     if (scenario.hasNaive) {
       const urls = naive.map(urlOf);
       rows.push(...(await runMode(fleet, scenario, { mode: "naive", urls: () => urls })));
     }
-    say(tableOf(rows.filter((row) => row.scenario === scenario.name)));
+    printLine(formatTable(rows.filter((row) => row.scenario === scenario.name)));
   }
   for (const entry of naive) {
     entry.signal("SIGKILL");
@@ -267,17 +276,17 @@
 } finally {
   await fleet.stop();
 }
-say("");
-say(tableOf(rows));
-say("");
-for (const line of ratiosOf(rows)) {
-  say(line);
+printLine("");
+printLine(formatTable(rows));
+printLine("");
+for (const line of formatRatios(rows)) {
+  printLine(line);
 }
 if (settings.json !== "") {
   writeFileSync(settings.json, `${JSON.stringify({ seed: settings.seed, rows }, null, 2)}\n`);
 }
 if (settings.plot !== "") {
-  writeFileSync(settings.plot, await plotOf(rows));
+  writeFileSync(settings.plot, await renderPlot(rows));
 }
-say(`bench: ended after ${Math.round((performance.now() - startedAtMs) / 1000)} s`);
+printLine(`bench: finished after ${Math.round((performance.now() - startedAtMs) / 1000)} s`);
 process.exit(0);
--- a/bench/memory_run.ts
+++ b/bench/memory_run.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * Whether box daemons keep their memory over a long run: resident memory of each, sampled while callers
- * ask without a pause, and its growth over the second half, when all code and buffers are warm.
+ * Detects memory leaks of box daemons: samples the resident memory of each while callers send queries
+ * continuously, and prints its growth over the second half of the run, after the warm-up.
  *
  *     npm run memory -- --seconds 600 --boxes 2
  *
@@ -16,13 +16,13 @@
 
 const HOST = "h.example";
 
-/** Callers that each ask again as soon as they are answered. */
-const CALLERS = 8;
+/** Number of callers; each sends its next query as soon as the previous one is answered. */
+const CALLER_COUNT = 8;
 
-/** Samples of a run. */
-const SAMPLES = 20;
+/** Number of samples of a run. */
+const SAMPLE_COUNT = 20;
 
-/** Resident memory of all boxes at one moment. */
+/** Resident memory of all boxes at a point in time. */
 interface Sample {
   readonly atS: number;
   readonly residentMb: ReadonlyArray<number>;
@@ -30,12 +30,18 @@
 }
 
 const { settings } = parseSettingsOrExit("Usage: npm run memory -- [--seconds N] [--boxes N]", {
-  seconds: { kind: "number", help: "Length of the run", fallback: "600", min: 20 },
-  boxes: { kind: "number", help: "Boxes, each a process", fallback: "2", min: 1, max: 20 },
+  seconds: { kind: "number", help: "Duration of the run, in seconds", fallback: "600", min: 20 },
+  boxes: {
+    kind: "number",
+    help: "Number of boxes, each a process",
+    fallback: "2",
+    min: 1,
+    max: 20,
+  },
 });
 
-/** As Linux tells it of a process. */
-function residentMb(pid: number): number {
+/** Reads the resident memory of a process, in megabytes. */
+function readResidentMb(pid: number): number {
   const status = readFileSync(`/proc/${pid}/status`, "utf8");
   const [, kilobytes = "0"] = /VmRSS:\s+(\d+) kB/.exec(status) ?? [];
   return Math.round(Number(kilobytes) / 102.4) / 10;
@@ -61,21 +67,21 @@
   readonly #fleet: BoxFleet;
   readonly statuses = new Map<number, number>();
   #stopped = false;
-  #asked = 0;
+  #requestCount = 0;
 
   constructor(fleet: BoxFleet) {
     this.#fleet = fleet;
   }
 
-  get answers(): number {
+  get answerCount(): number {
     return [...this.statuses.values()].reduce((sum, count) => sum + count, 0);
   }
 
   async run(): Promise<void> {
     const boxes = this.#fleet.boxes;
     await Promise.all(
-      Array.from({ length: CALLERS }, (_, caller) => {
-        return this.#callAgain(boxes[caller % boxes.length] as PlatformBox);
+      Array.from({ length: CALLER_COUNT }, (_, caller) => {
+        return this.#sendRepeatedly(boxes[caller % boxes.length] as PlatformBox);
       }),
     );
   }
@@ -84,10 +90,10 @@
     this.#stopped = true;
   }
 
-  async #callAgain(box: PlatformBox): Promise<void> {
+  async #sendRepeatedly(box: PlatformBox): Promise<void> {
     while (!this.#stopped) {
-      this.#asked += 1;
-      const requestId = `m${this.#asked}`;
+      this.#requestCount += 1;
+      const requestId = `m${this.#requestCount}`;
       const { statusCode } = await this.#fleet.sendRequest(box, { path: "/sweep/x", requestId });
       this.statuses.set(statusCode, (this.statuses.get(statusCode) ?? 0) + 1);
     }
@@ -98,12 +104,12 @@
 const load = new Load(fleet);
 const loading = load.run();
 const samples: Array<Sample> = [];
-for (let index = 1; index <= SAMPLES; index++) {
-  await pause((settings.seconds * 1_000) / SAMPLES);
+for (let index = 1; index <= SAMPLE_COUNT; index++) {
+  await pause((settings.seconds * 1_000) / SAMPLE_COUNT);
   const sample = {
-    atS: Math.round((index * settings.seconds) / SAMPLES),
-    residentMb: fleet.boxes.map(({ process }) => residentMb(process.pid)),
-    answers: load.answers,
+    atS: Math.round((index * settings.seconds) / SAMPLE_COUNT),
+    residentMb: fleet.boxes.map(({ process }) => readResidentMb(process.pid)),
+    answers: load.answerCount,
   };
   samples.push(sample);
   process.stdout.write(`${JSON.stringify(sample)}\n`);
@@ -111,9 +117,9 @@
 load.stop();
 await loading;
 await fleet.stop();
-const half = samples[SAMPLES / 2 - 1]?.residentMb ?? [];
-const end = samples.at(-1)?.residentMb ?? [];
-const grownMb = end.map((mb, index) => Math.round((mb - (half[index] ?? 0)) * 10) / 10);
+const atHalf = samples[SAMPLE_COUNT / 2 - 1]?.residentMb ?? [];
+const atEnd = samples.at(-1)?.residentMb ?? [];
+const growthMb = atEnd.map((mb, index) => Math.round((mb - (atHalf[index] ?? 0)) * 10) / 10);
 process.stdout.write(`answers: ${JSON.stringify(Object.fromEntries(load.statuses))}\n`);
-process.stdout.write(`grown over the second half, MB: ${grownMb.join(", ")}\n`);
+process.stdout.write(`growth over the second half, MB: ${growthMb.join(", ")}\n`);
 process.exit(0);
--- a/bench/naive_entry.ts
+++ b/bench/naive_entry.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The naive mode that rackvale is compared with: each entry dials leafs itself, picks a replica at
- * random, waits for a fixed time and tries again on any failure.
+ * The naive mode that rackvale is compared with: each entry connects to leafs itself, selects a random
+ * replica, waits until the deadline of the query and retries after any failure.
  *
  * @module
  */
@@ -30,11 +30,11 @@
   readonly deadlineAtMs: number;
 }
 
-const TRIES = 2;
-const IDLE_MS = 1_000;
+const MAX_ATTEMPTS = 2;
+const IDLE_TIMEOUT_MS = 1_000;
 
 const { settings } = parseSettingsOrExit("Usage: naive_entry --seed N", {
-  seed: { kind: "number", help: "Seed of the choice of replicas", fallback: "1" },
+  seed: { kind: "number", help: "Seed of the selection of replicas", fallback: "1" },
 });
 let random = prand.xoroshiro128plus(settings.seed);
 const services = new Map<string, NaiveService>();
@@ -56,9 +56,9 @@
         connections: leaf.maxConnections,
         pipelining: 1,
         headersTimeout: 0,
-        // Connections left idle would hold the leaf's cap against the mode that runs next.
-        keepAliveTimeout: IDLE_MS,
-        keepAliveMaxTimeout: IDLE_MS,
+        // Idle connections would count towards the connection limit of the leaf in the mode that runs next.
+        keepAliveTimeout: IDLE_TIMEOUT_MS,
+        keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
       };
       return [
         leaf.leafId,
@@ -71,8 +71,8 @@
 }
 
 async function callLeaf(leaf: NaiveLeaf, call: ShardCall): Promise<ReadonlyArray<Row>> {
-  const leftMs = Math.max(1, Math.round(call.deadlineAtMs - performance.now()));
-  const answer = await leaf.pool.request({
+  const remainingMs = Math.max(1, Math.round(call.deadlineAtMs - performance.now()));
+  const response = await leaf.pool.request({
     method: "POST",
     path: LEAF_PATHS.query,
     headers: {
@@ -80,14 +80,14 @@
       [LEAF_HEADERS.callId]: "naive",
       [LEAF_HEADERS.snapshot]: call.snapshot,
       [LEAF_HEADERS.shard]: call.shard,
-      [LEAF_HEADERS.deadlineMs]: String(leftMs),
+      [LEAF_HEADERS.deadlineMs]: String(remainingMs),
     },
     body: call.bodyJson,
-    signal: AbortSignal.timeout(leftMs),
+    signal: AbortSignal.timeout(remainingMs),
   });
-  const data = await answer.body.json();
-  if (answer.statusCode !== 200) {
-    throw new Error("Cannot use the answer");
+  const data = await response.body.json();
+  if (response.statusCode !== 200) {
+    throw new Error("Leaf call failed");
   }
   return data as ReadonlyArray<Row>;
 }
@@ -96,13 +96,17 @@
   service: NaiveService,
   call: ShardCall,
 ): Promise<ReadonlyArray<Row> | undefined> {
-  for (let tried = 0; tried < TRIES && performance.now() < call.deadlineAtMs; tried++) {
+  for (
+    let attempt = 0;
+    attempt < MAX_ATTEMPTS && performance.now() < call.deadlineAtMs;
+    attempt++
+  ) {
     const leaf = service.leafs.get(pickOne(call.leafIds) ?? "");
     if (leaf !== undefined) {
       try {
         return await callLeaf(leaf, call);
       } catch {
-        // Any failure is tried again.
+        // Every failure is retried.
       }
     }
   }
@@ -120,18 +124,18 @@
   const deadlineAtMs = performance.now() + request.deadlineMs;
   const bodyJson = JSON.stringify(request.body);
   const { snapshot } = spec;
-  const parts = await Promise.all(
+  const shardResults = await Promise.all(
     spec.shards.map(({ shard, leafIds }) =>
       fetchShard(service, { shard, snapshot, leafIds, bodyJson, deadlineAtMs }),
     ),
   );
-  const included = spec.shards.filter((_, index) => parts[index] !== undefined);
+  const included = spec.shards.filter((_, index) => shardResults[index] !== undefined);
   const rows = mergeRows(
-    parts.map((part) => part ?? []),
+    shardResults.map((rows) => rows ?? []),
     request.merge ?? {},
   );
-  const outcome = included.length === parts.length ? "complete" : "partial";
-  const lacking = spec.shards.filter((_, index) => parts[index] === undefined);
+  const outcome = included.length === shardResults.length ? "complete" : "partial";
+  const lacking = spec.shards.filter((_, index) => shardResults[index] === undefined);
   const coverage = { included: included.map((each) => each.shard), lacking };
   reply(response, 200, { outcome, notRun: false, snapshot, coverage, rows });
 }
--- a/bench/open_loop.ts
+++ b/bench/open_loop.ts
@@ -1,6 +1,6 @@
 /**
- * An open-loop load: each query is sent at its planned moment whatever became of those before, and
- * its latency counts from that moment.
+ * Open-loop load: each query is sent at its planned time regardless of the outcome of earlier queries,
+ * and its latency is measured from that time.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import { Agent, request } from "undici";
 import type { QueryAnswer } from "../model/mod.js";
 
-/** One query to be sent. */
+/** A query to send. */
 export interface PlannedQuery {
   readonly atMs: number;
   readonly service: string;
-  /** Name that its latency is counted under. */
+  /** Kind under which the result is counted. */
   readonly kind: string;
   readonly body: object;
 }
 
-/** What became of the queries of one kind. */
+/** Results of the queries of one kind. */
 export interface LoadResult {
   readonly sent: number;
   /** Answers with rows. */
@@ -25,7 +25,7 @@
   readonly complete: number;
   readonly refusedNotRun: number;
   readonly unknown: number;
-  /** Calls that got no HTTP answer. */
+  /** Queries that received no HTTP response. */
   readonly failed: number;
   /** Mean share of shards covered by the answers with rows, 0 to 1. */
   readonly coverage: number;
@@ -33,7 +33,7 @@
   readonly p99Ms: number;
   readonly p999Ms: number;
   readonly maxMs: number;
-  /** 99th percentile of the time a refusal took, in milliseconds. */
+  /** 99th percentile of the latency of refusals, in milliseconds. */
   readonly refusalP99Ms: number;
 }
 
@@ -49,7 +49,8 @@
   coverageSum: number;
 }
 
-const UNIT_PER_MS = 100;
+/** Histogram units per millisecond. */
+const UNITS_PER_MS = 100;
 
 function newTally(): Tally {
   const options = { lowestDiscernibleValue: 1, highestTrackableValue: 6_000_000 } as const;
@@ -66,17 +67,17 @@
   };
 }
 
-/** How a load is sent. */
+/** Options of {@linkcode sendLoad}. */
 export interface LoadOptions {
-  /** Base URLs of the entries as they are advised now; asked before each query. */
+  /** Returns the current base URLs of the entries; called before each query. */
   readonly entries: () => ReadonlyArray<string>;
 }
 
 /**
- * Sends a load and waits for all its answers.
+ * Sends a load and waits for all responses.
  *
- * @param planned - The queries.
- * @param options - Where to send them.
+ * @param planned - Queries to send.
+ * @param options - Entries to send them to.
  * @returns Results by kind.
  */
 export async function sendLoad(
@@ -114,28 +115,28 @@
 
 async function sendOne({ query, url, agent, tally, plannedAtMs }: SendOptions): Promise<void> {
   try {
-    const answer = await request(`${url}/v1/services/${query.service}/query`, {
+    const response = await request(`${url}/v1/services/${query.service}/query`, {
       method: "POST",
       headers: { "content-type": "application/json" },
       body: JSON.stringify(query.body),
       dispatcher: agent,
     });
-    const body = (await answer.body.json()) as QueryAnswer;
-    note(tally, body, performance.now() - plannedAtMs);
+    const body = (await response.body.json()) as QueryAnswer;
+    recordAnswer(tally, body, performance.now() - plannedAtMs);
   } catch {
     tally.failed += 1;
   }
 }
 
-function note(tally: Tally, answer: QueryAnswer, tookMs: number): void {
-  const units = Math.max(1, Math.round(tookMs * UNIT_PER_MS));
+function recordAnswer(tally: Tally, answer: QueryAnswer, tookMs: number): void {
+  const units = Math.max(1, Math.round(tookMs * UNITS_PER_MS));
   const { included, lacking } = answer.coverage;
   if (answer.outcome === "complete" || answer.outcome === "partial") {
     tally.latencies.recordValue(units);
     tally.answered += 1;
     tally.complete += answer.outcome === "complete" ? 1 : 0;
-    const all = Math.max(included.length + lacking.length, included.length, 1);
-    tally.coverageSum += included.length / all;
+    const shardCount = Math.max(included.length + lacking.length, included.length, 1);
+    tally.coverageSum += included.length / shardCount;
   } else if (answer.notRun) {
     tally.refusals.recordValue(units);
     tally.refusedNotRun += 1;
@@ -146,7 +147,8 @@
 
 function resultOf(tally: Tally): LoadResult {
   const { latencies, refusals, sent, answered, complete, refusedNotRun, unknown, failed } = tally;
-  const at = (percentile: number) => latencies.getValueAtPercentile(percentile) / UNIT_PER_MS;
+  const latencyAt = (percentile: number) =>
+    latencies.getValueAtPercentile(percentile) / UNITS_PER_MS;
   return {
     sent,
     answered,
@@ -155,15 +157,15 @@
     unknown,
     failed,
     coverage: answered === 0 ? 0 : tally.coverageSum / answered,
-    p50Ms: at(50),
-    p99Ms: at(99),
-    p999Ms: at(99.9),
-    maxMs: latencies.maxValue / UNIT_PER_MS,
-    refusalP99Ms: refusedNotRun === 0 ? 0 : refusals.getValueAtPercentile(99) / UNIT_PER_MS,
+    p50Ms: latencyAt(50),
+    p99Ms: latencyAt(99),
+    p999Ms: latencyAt(99.9),
+    maxMs: latencies.maxValue / UNITS_PER_MS,
+    refusalP99Ms: refusedNotRun === 0 ? 0 : refusals.getValueAtPercentile(99) / UNITS_PER_MS,
   };
 }
 
-/** How a steady load is planned. */
+/** Options of {@linkcode steadyLoad}. */
 export interface SteadyOptions {
   readonly service: string;
   readonly kind: string;
@@ -174,10 +176,10 @@
 }
 
 /**
- * Plans queries at even distances.
+ * Plans queries at a constant rate.
  *
- * @param options - Rate, time and bodies.
- * @returns The queries.
+ * @param options - Rate, period and bodies.
+ * @returns The planned queries.
  */
 export function steadyLoad(options: SteadyOptions): ReadonlyArray<PlannedQuery> {
   const { service, kind, perSecond, fromMs, untilMs, body } = options;
--- a/bench/play_days.ts
+++ b/bench/play_days.ts
@@ -1,6 +1,6 @@
 /**
- * Plays the days of `deploy/days` by a program that plays days, one after the other or a few at a time, and
- * prints a table: each kind of trouble, and pairs of kinds that meet.
+ * Plays the days (test scenarios) in `deploy/days` with an external program, several at a time, and prints
+ * the row of each result.
  *
  *     npm run days -- --program PATH --site SITE-FILE [--only TEXT] [--jobs 3] [--vary SEED]
  *
@@ -15,29 +15,43 @@
   "Usage: npm run days -- --program PATH --site FILE [--only TEXT] [--jobs N] [--vary SEED]";
 
 const SPECS = {
-  program: { kind: "text", help: "The program that plays a day" },
+  program: { kind: "text", help: "Program that plays a day" },
   site: { kind: "text", help: "Site file to play the days on" },
-  only: { kind: "text", help: "Plays only days whose name holds this text", fallback: "" },
-  jobs: { kind: "number", help: "Days played at a time", fallback: "3", min: 1, max: 8 },
-  vary: { kind: "number", help: "Seed of other times and figures; 0 as written", fallback: "0" },
-  why: { kind: "text", help: "Line for the journal", fallback: "the project's own days" },
+  only: { kind: "text", help: "Plays only days whose name contains this text", fallback: "" },
+  jobs: {
+    kind: "number",
+    help: "Number of days played concurrently",
+    fallback: "3",
+    min: 1,
+    max: 8,
+  },
+  vary: {
+    kind: "number",
+    help: "Seed by which times and figures are varied; 0 for none",
+    fallback: "0",
+  },
+  why: {
+    kind: "text",
+    help: "Reason to record in the journal",
+    fallback: "the project's own days",
+  },
 } as const;
 
-const FOLDER = "deploy/days";
+const DAYS_FOLDER = "deploy/days";
 
 interface PlayedDay {
   readonly name: string;
   readonly exitCode: number;
-  /** Row of the bench's table; empty where the day was not played. */
+  /** Row of the program's table; the end of its output if the day was not played. */
   readonly row: string;
 }
 
 const { settings } = parseSettingsOrExit(USAGE, SPECS);
 
 function playDay(name: string): Promise<PlayedDay> {
-  const file = join(FOLDER, `${name}.toml`);
-  const varied = settings.vary === 0 ? [] : ["--vary", "--seed", String(settings.vary)];
-  const args = ["run", settings.site, file, ...varied, "--why", settings.why];
+  const file = join(DAYS_FOLDER, `${name}.toml`);
+  const varyArgs = settings.vary === 0 ? [] : ["--vary", "--seed", String(settings.vary)];
+  const args = ["run", settings.site, file, ...varyArgs, "--why", settings.why];
   const child = spawn(settings.program, args, { stdio: ["ignore", "pipe", "pipe"] });
   let output = "";
   child.stdout.on("data", (chunk: Buffer) => {
@@ -55,10 +69,10 @@
 }
 
 async function playAll(names: ReadonlyArray<string>): Promise<ReadonlyArray<PlayedDay>> {
-  const left = [...names];
+  const queue = [...names];
   const played: Array<PlayedDay> = [];
   async function playNext(): Promise<void> {
-    for (let name = left.shift(); name !== undefined; name = left.shift()) {
+    for (let name = queue.shift(); name !== undefined; name = queue.shift()) {
       const day = await playDay(name);
       played.push(day);
       process.stdout.write(`${day.row}\n`);
@@ -68,7 +82,7 @@
   return played;
 }
 
-const names = readdirSync(FOLDER)
+const names = readdirSync(DAYS_FOLDER)
   .map((file) => file.replace(/\.toml$/, ""))
   .filter((name) => name.includes(settings.only))
   .sort();
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the bench's results as a table, as JSON and as a plot.
+ * Formats the results of the benchmark as a table and as a plot.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import { compile } from "vega-lite";
 import type { LoadResult } from "./open_loop.js";
 
-/** What one mode showed in one scenario for one kind of query. */
+/** Result of a mode in a scenario, for one kind of query. */
 export interface BenchRow {
   readonly scenario: string;
   readonly kind: string;
   readonly mode: "rackvale" | "naive";
   readonly result: LoadResult;
-  /** Leaf calls over one for each shard and answered query, as a share; under sharing below 0. */
+  /** Leaf calls beyond one for each shard and query that ran, as a share; negative if calls are shared. */
   readonly extraLoadShare: number;
-  /** CPU of all daemons of a role for each leaf call, in microseconds; rackvale only. */
+  /** CPU time of all daemons of a role per leaf call, in microseconds; only in mode `rackvale`. */
   readonly cpuMicrosPerCall: { readonly entry: number; readonly pool: number } | undefined;
 }
 
@@ -39,25 +39,26 @@
 ];
 
 /**
- * Writes results as a Markdown table.
+ * Formats results as a Markdown table.
  *
- * @param rows - The results.
+ * @param rows - Results of the benchmark.
  * @returns The table.
  */
-export function tableOf(rows: ReadonlyArray<BenchRow>): string {
-  const head = `| ${COLUMNS.map((column) => column.title).join(" | ")} |`;
-  const rule = `|${COLUMNS.map(() => "---").join("|")}|`;
+export function formatTable(rows: ReadonlyArray<BenchRow>): string {
+  const header = `| ${COLUMNS.map((column) => column.title).join(" | ")} |`;
+  const separator = `|${COLUMNS.map(() => "---").join("|")}|`;
   const lines = rows.map((row) => `| ${COLUMNS.map((each) => each.value(row)).join(" | ")} |`);
-  return [head, rule, ...lines].join("\n");
+  return [header, separator, ...lines].join("\n");
 }
 
 /**
- * Compares the modes: rackvale's p99 over naive's, for each scenario and kind.
+ * Formats the ratio of the latency percentiles of rackvale to those of the naive mode, for each scenario
+ * and kind.
  *
- * @param rows - The results.
- * @returns One line for each pair.
+ * @param rows - Results of the benchmark.
+ * @returns A line for each scenario and kind.
  */
-export function ratiosOf(rows: ReadonlyArray<BenchRow>): ReadonlyArray<string> {
+export function formatRatios(rows: ReadonlyArray<BenchRow>): ReadonlyArray<string> {
   return rows.flatMap((row) => {
     const naive = rows.find((other) => {
       return other.mode === "naive" && other.scenario === row.scenario && other.kind === row.kind;
@@ -75,12 +76,12 @@
 }
 
 /**
- * Draws the 99th percentiles of both modes.
+ * Renders a plot of the 99th percentiles of both modes.
  *
- * @param rows - The results.
- * @returns An SVG.
+ * @param rows - Results of the benchmark.
+ * @returns SVG document.
  */
-export async function plotOf(rows: ReadonlyArray<BenchRow>): Promise<string> {
+export async function renderPlot(rows: ReadonlyArray<BenchRow>): Promise<string> {
   const values = rows.map(({ scenario, kind, mode, result }) => ({
     scenario: kind === "steady" ? scenario : `${scenario}, ${kind}`,
     mode,
--- a/bench/scenarios.ts
+++ b/bench/scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * The scenarios of the bench, at the brief's sizes where one machine carries them.
+ * Scenarios of the benchmark.
  *
  * @module
  */
@@ -7,50 +7,50 @@
 import { pause } from "../standins/mod.js";
 import { type PlannedQuery, steadyLoad } from "./open_loop.js";
 
-/** Something done while a scenario runs. */
-export interface Act {
+/** An action during a scenario. */
+export interface Action {
   readonly atMs: number;
   readonly run: (fleet: Fleet) => Promise<unknown>;
 }
 
-/** One scenario. */
+/** A scenario of the benchmark. */
 export interface Scenario {
   readonly name: string;
-  readonly what: string;
+  readonly description: string;
   readonly service: "bidscope" | "desk-api" | "payout-ledger";
-  /** Whether the naive mode can run it too; it has no boxes to restart and no platform. */
+  /** Whether the naive mode runs it too; that mode has no boxes to restart and no platform. */
   readonly hasNaive: boolean;
   readonly load: ReadonlyArray<PlannedQuery>;
-  /** Whether the addresses of entries change while it runs. */
-  readonly movesEntries?: boolean;
-  /** Brings about the scenario's conditions. */
-  readonly before?: (fleet: Fleet) => Promise<unknown>;
-  readonly acts?: ReadonlyArray<Act>;
-  /** Takes the conditions back. */
-  readonly after?: (fleet: Fleet) => Promise<unknown>;
+  /** Whether the addresses of entries change during the scenario. */
+  readonly replacesEntries?: boolean;
+  /** Sets up the conditions of the scenario. */
+  readonly setUp?: (fleet: Fleet) => Promise<unknown>;
+  readonly actions?: ReadonlyArray<Action>;
+  /** Restores normal conditions. */
+  readonly tearDown?: (fleet: Fleet) => Promise<unknown>;
 }
 
-/** Time of a scenario, in milliseconds. */
+/** Duration of a scenario, in milliseconds. */
 const RUN_MS = 6_000;
 
-/** Usual rate of distinct queries a second, each to 40 shards. */
+/** Rate of distinct queries per second, each to 40 shards. */
 const STEADY_RATE = 50;
 
-/** Traders that ask at the same moment. */
-const TRADERS = 240;
+/** Number of traders that send a query at the same time. */
+const TRADER_COUNT = 240;
 
-/** Distinct questions among them. */
-const QUESTIONS = 24;
+/** Number of distinct queries among them. */
+const DISTINCT_QUERY_COUNT = 24;
 
-/** Time over which the traders' requests arrive, in milliseconds. */
+/** Period in which the queries of the traders arrive, in milliseconds. */
 const BURST_MS = 50;
 
-let marks = 0;
+let markCount = 0;
 
 function uniqueBody(extra: object = {}) {
   return () => {
-    marks += 1;
-    return { caller: "trader", deadlineMs: 1_000, body: { mark: `u${marks}` }, ...extra };
+    markCount += 1;
+    return { caller: "trader", deadlineMs: 1_000, body: { mark: `u${markCount}` }, ...extra };
   };
 }
 
@@ -65,24 +65,24 @@
   });
 }
 
-/** All traders ask within a moment; some ask the same, under the market's rights. */
+/** Plans a burst of queries by all traders, some of them identical and with the same rights. */
 function gateClosure(atMs: number): ReadonlyArray<PlannedQuery> {
-  marks += 1;
-  const round = marks;
-  return Array.from({ length: TRADERS }, (_, index) => ({
-    atMs: atMs + (index * BURST_MS) / TRADERS,
+  markCount += 1;
+  const round = markCount;
+  return Array.from({ length: TRADER_COUNT }, (_, index) => ({
+    atMs: atMs + (index * BURST_MS) / TRADER_COUNT,
     service: "bidscope",
     kind: "gate closure",
     body: {
       caller: `trader-${index}`,
       rights: "market",
       deadlineMs: 1_000,
-      body: { mark: `g${round}-${index % QUESTIONS}` },
+      body: { mark: `g${round}-${index % DISTINCT_QUERY_COUNT}` },
     },
   }));
 }
 
-/** Dispatchers want the best few at once. */
+/** Plans urgent queries of dispatchers for the best rows. */
 function frequencyEvent(kind: string, atMs: number): ReadonlyArray<PlannedQuery> {
   return steadyLoad({
     service: "bidscope",
@@ -97,7 +97,7 @@
   });
 }
 
-async function changeHall(fleet: Fleet, hall: number, factor: number): Promise<void> {
+async function setHallSlowdown(fleet: Fleet, hall: number, factor: number): Promise<void> {
   const { bidscope } = { bidscope: 20 };
   for (let instance = hall; instance < bidscope; instance += 3) {
     const prefix = `bidscope-${String(instance + 1).padStart(2, "0")}`;
@@ -122,30 +122,30 @@
 export const SCENARIOS: ReadonlyArray<Scenario> = [
   {
     name: "steady",
-    what: `${STEADY_RATE} distinct queries a second`,
+    description: `${STEADY_RATE} distinct queries per second`,
     service: "bidscope",
     hasNaive: true,
     load: steady("bidscope", STEADY_RATE),
   },
   {
     name: "stragglers",
-    what: "1% of leaf calls take 20 times as long",
+    description: "1% of leaf calls take 20 times as long",
     service: "bidscope",
     hasNaive: true,
     load: steady("bidscope", STEADY_RATE),
-    before: (fleet) => fleet.changeLeafs("bidscope", STRAGGLERS),
-    after: (fleet) => fleet.changeLeafs("bidscope", NO_STRAGGLERS),
+    setUp: (fleet) => fleet.changeLeafs("bidscope", STRAGGLERS),
+    tearDown: (fleet) => fleet.changeLeafs("bidscope", NO_STRAGGLERS),
   },
   {
     name: "gate closure",
-    what: `${TRADERS} traders within ${BURST_MS} ms, ${QUESTIONS} distinct questions`,
+    description: `${TRADER_COUNT} traders within ${BURST_MS} ms, ${DISTINCT_QUERY_COUNT} distinct queries`,
     service: "bidscope",
     hasNaive: true,
     load: [...gateClosure(500), ...gateClosure(2_500), ...gateClosure(4_500)],
   },
   {
     name: "frequency event",
-    what: "dispatchers' best few, idle and within a gate closure",
+    description: "urgent queries for the best rows, when idle and during a gate closure",
     service: "bidscope",
     hasNaive: true,
     load: [
@@ -158,38 +158,40 @@
   },
   {
     name: "customs check",
-    what: "desk-api at 50 queries a second, high priority, 1% stragglers at 20 times",
+    description:
+      "desk-api at 50 queries per second, high priority, 1% stragglers that take 20 times as long",
     service: "desk-api",
     hasNaive: true,
     load: steady("desk-api", STEADY_RATE, { priority: "high", deadlineMs: 300 }),
-    before: (fleet) => fleet.changeLeafs("desk-api", STRAGGLERS),
-    after: (fleet) => fleet.changeLeafs("desk-api", NO_STRAGGLERS),
+    setUp: (fleet) => fleet.changeLeafs("desk-api", STRAGGLERS),
+    tearDown: (fleet) => fleet.changeLeafs("desk-api", NO_STRAGGLERS),
   },
   {
     name: "ledger",
-    what: "payout-ledger at 100 queries a second, 1% stragglers at 20 times",
+    description:
+      "payout-ledger at 100 queries per second, 1% stragglers that take 20 times as long",
     service: "payout-ledger",
     hasNaive: true,
     load: steady("payout-ledger", 2 * STEADY_RATE),
-    before: (fleet) => fleet.changeLeafs("payout-ledger", STRAGGLERS),
-    after: (fleet) => fleet.changeLeafs("payout-ledger", NO_STRAGGLERS),
+    setUp: (fleet) => fleet.changeLeafs("payout-ledger", STRAGGLERS),
+    tearDown: (fleet) => fleet.changeLeafs("payout-ledger", NO_STRAGGLERS),
   },
   {
     name: "slow hall",
-    what: "the leafs of one hall take 5 times as long",
+    description: "the leafs of one data centre take 5 times as long",
     service: "bidscope",
     hasNaive: true,
     load: steady("bidscope", STEADY_RATE),
-    before: (fleet) => changeHall(fleet, 1, 5),
-    after: (fleet) => changeHall(fleet, 1, 1),
+    setUp: (fleet) => setHallSlowdown(fleet, 1, 5),
+    tearDown: (fleet) => setHallSlowdown(fleet, 1, 1),
   },
   {
     name: "drained and cold",
-    what: "one server drains and another is cold, half way",
+    description: "one server drains and another becomes cold during the run",
     service: "bidscope",
     hasNaive: true,
     load: steady("bidscope", STEADY_RATE),
-    acts: [
+    actions: [
       {
         atMs: 2_000,
         run: async (fleet) => {
@@ -198,40 +200,40 @@
         },
       },
     ],
-    after: (fleet) => fleet.changeLeafs("bidscope-0", { state: "ready" }),
+    tearDown: (fleet) => fleet.changeLeafs("bidscope-0", { state: "ready" }),
   },
   {
     name: "lying load reports",
-    what: "one server refuses all calls and reports that it is ready",
+    description: "one server refuses all calls and reports that it is ready",
     service: "bidscope",
     hasNaive: true,
     load: steady("bidscope", STEADY_RATE),
-    before: (fleet) =>
+    setUp: (fleet) =>
       fleet.changeLeafs("bidscope-14", { state: "draining", reportedState: "ready" }),
-    after: (fleet) =>
+    tearDown: (fleet) =>
       fleet.changeLeafs("bidscope-14", { state: "ready", reportedState: undefined }),
   },
   {
     name: "platform down",
-    what: "the platform answers nothing",
+    description: "the platform is unreachable",
     service: "bidscope",
     hasNaive: false,
     load: steady("bidscope", STEADY_RATE),
-    before: (fleet) => fleet.setPlatformFaults({ mode: "down" }),
-    after: (fleet) => fleet.setPlatformFaults({ mode: "up" }),
+    setUp: (fleet) => fleet.setPlatformFaults({ mode: "down" }),
+    tearDown: (fleet) => fleet.setPlatformFaults({ mode: "up" }),
   },
   {
     name: "overload",
-    what: "three times what the leafs carry, which take 20 ms a call",
+    description: "three times the capacity of the leafs, at 20 ms per call",
     service: "bidscope",
     hasNaive: true,
     load: steady("bidscope", 300, { deadlineMs: 500 }),
-    before: (fleet) => fleet.changeLeafs("bidscope", { serviceTimeMs: 20 }),
-    after: (fleet) => fleet.changeLeafs("bidscope", { serviceTimeMs: 5 }),
+    setUp: (fleet) => fleet.changeLeafs("bidscope", { serviceTimeMs: 20 }),
+    tearDown: (fleet) => fleet.changeLeafs("bidscope", { serviceTimeMs: 5 }),
   },
   {
     name: "rolling restarts",
-    what: "each box is stopped as planned and replaced, callers follow the advice",
+    description: "each box is stopped gracefully and replaced; callers refresh the address list",
     service: "bidscope",
     hasNaive: false,
     load: steadyLoad({
@@ -242,21 +244,21 @@
       untilMs: 20_000,
       body: uniqueBody(),
     }),
-    movesEntries: true,
-    acts: [{ atMs: 500, run: restartAll }],
+    replacesEntries: true,
+    actions: [{ atMs: 500, run: restartAll }],
   },
   {
     name: "replica lost",
-    what: "one server dies half way",
+    description: "one server fails during the run",
     service: "bidscope",
     hasNaive: true,
     load: steady("bidscope", STEADY_RATE),
-    acts: [
+    actions: [
       {
         atMs: 2_000,
         run: (fleet) => fleet.changeLeafs("bidscope-17", { misbehaviour: "hang up" }),
       },
     ],
-    after: (fleet) => fleet.changeLeafs("bidscope-17", { misbehaviour: "none" }),
+    tearDown: (fleet) => fleet.changeLeafs("bidscope-17", { misbehaviour: "none" }),
   },
 ];
--- a/bench/standby_cost.ts
+++ b/bench/standby_cost.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 /**
- * What a box costs that stands by in a large fleet: processor time and wake-ups of one box process whose
- * other boxes are played by this program. They answer its datagrams and ask it once a second, and its
- * readiness is looked at each second.
+ * Measures the cost of an idle box in a large fleet: processor time and wake-ups of one box process. This
+ * program simulates the other boxes: they answer its datagrams, and each second one of them sends a
+ * request. The readiness endpoint is polled each second as well.
  *
  *     npm run standby-cost -- --boxes 195 --seconds 20
  *
@@ -23,14 +23,26 @@
 const { settings } = parseSettingsOrExit(
   "Usage: npm run standby-cost -- [--boxes N] [--seconds N]",
   {
-    boxes: { kind: "number", help: "Boxes of the fleet", fallback: "195", min: 5, max: 250 },
-    seconds: { kind: "number", help: "Time that is measured", fallback: "20", min: 1, max: 600 },
+    boxes: {
+      kind: "number",
+      help: "Number of boxes of the fleet",
+      fallback: "195",
+      min: 5,
+      max: 250,
+    },
+    seconds: {
+      kind: "number",
+      help: "Duration of the measurement, in seconds",
+      fallback: "20",
+      min: 1,
+      max: 600,
+    },
   },
 );
 
 const LOOPBACK = "127.0.0.1";
 
-/** Address of the box that is measured; the others' lie beside it. */
+/** Address of the measured box. */
 const MEASURED_ADDRESS = "127.44.9.9";
 
 const DATAGRAM_PORT = 7380;
@@ -39,11 +51,11 @@
 /** Data centres by region. */
 const REGIONS: Readonly<Record<string, string>> = { a: "north", b: "south", c: "east" };
 
-/** Time after the start that is left out, in milliseconds: the box meets the others. */
+/** Time before the measurement in which the box discovers the others, in milliseconds. */
 const SETTLE_MS = 5_000;
 
-/** Members that ride on a datagram of the boxes that are played. */
-const RIDERS = 3;
+/** Number of other members that a datagram of a simulated box describes. */
+const GOSSIPED_MEMBER_COUNT = 3;
 
 /** Shards, each with two leafs. */
 const SHARDS = Array.from({ length: 87 }, (_, index) => `shard-${index}`);
@@ -59,12 +71,12 @@
   };
 }
 
-function pickFrom<T>(items: ReadonlyArray<T>): T {
+function pickRandom<T>(items: ReadonlyArray<T>): T {
   return items[Math.floor(Math.random() * items.length)] as T;
 }
 
-/** The other boxes. */
-class PlayedBoxes {
+/** Simulates the other boxes of the fleet. */
+class SimulatedBoxes {
   readonly #members = Array.from({ length: settings.boxes - 1 }, (_, index) => memberAt(index));
   readonly #sockets: ReadonlyArray<Socket>;
 
@@ -72,13 +84,13 @@
     this.#sockets = this.#members.map((member) => this.#open(member));
   }
 
-  /** Addresses of the first three. */
+  /** Addresses of the first three boxes. */
   get seeds(): ReadonlyArray<string> {
     return this.#members.slice(0, 3).map(({ address }) => address);
   }
 
-  /** Lets one of them ask the box that is measured. */
-  ask(): void {
+  /** Sends a request from a random simulated box to the measured one. */
+  sendRequest(): void {
     const index = Math.floor(Math.random() * this.#members.length);
     this.#send(index, "ask", 1);
   }
@@ -104,32 +116,34 @@
   #send(index: number, kind: "ask" | "answer", number: number): void {
     const self = this.#members[index];
     if (self !== undefined) {
-      const riders = Array.from({ length: RIDERS }, () => pickFrom(this.#members));
+      const gossiped = Array.from({ length: GOSSIPED_MEMBER_COUNT }, () =>
+        pickRandom(this.#members),
+      );
       const progress = { configurationVersion: 1, leafsRevision: 1 };
       const data = encodeFleetMessage({
         ...{ kind, number, progress, crashes: [] },
-        members: [self, ...riders],
+        members: [self, ...gossiped],
       });
       this.#sockets[index]?.send(data, DATAGRAM_PORT, MEASURED_ADDRESS);
     }
   }
 }
 
-/** What a process has used so far. */
-interface ProcessUse {
+/** Resources that a process has used since its start. */
+interface ProcessUsage {
   readonly processorMs: number;
   readonly mainThreadMs: number;
   readonly wakeUps: number;
 }
 
-function useOf(pid: number): ProcessUse {
+function readUsage(pid: number): ProcessUsage {
   const threads = readdirSync(`/proc/${pid}/task`).map((thread) => {
-    const ranNs = readFileSync(`/proc/${pid}/task/${thread}/schedstat`, "utf8").split(" ")[0];
-    return Number(ranNs) / 1e6;
+    const runtimeNs = readFileSync(`/proc/${pid}/task/${thread}/schedstat`, "utf8").split(" ")[0];
+    return Number(runtimeNs) / 1e6;
   });
   const status = readFileSync(`/proc/${pid}/status`, "utf8");
   const wakeUps = Number(/^voluntary_ctxt_switches:\s+(\d+)/m.exec(status)?.[1]);
-  const processorMs = threads.reduce((sum, ranMs) => sum + ranMs, 0);
+  const processorMs = threads.reduce((sum, runtimeMs) => sum + runtimeMs, 0);
   return { processorMs, mainThreadMs: threads[0] ?? 0, wakeUps };
 }
 
@@ -166,9 +180,9 @@
 
 async function measure({ pid }: FleetProcess): Promise<void> {
   await pause(SETTLE_MS);
-  const before = useOf(pid);
+  const before = readUsage(pid);
   await pause(settings.seconds * 1_000);
-  const after = useOf(pid);
+  const after = readUsage(pid);
   const perSecond = (from: number, to: number): number => (to - from) / settings.seconds;
   const percent = (from: number, to: number): string => (perSecond(from, to) / 10).toFixed(2);
   const share = percent(before.processorMs, after.processorMs);
@@ -180,31 +194,31 @@
 }
 
 const platform = await startPlatformStandin({ address: LOOPBACK, port: 0 });
-const target = { shards: SHARDS, topRecords: 5, leastShare: 0.9 };
-const route = { host: "h", name: "sweep", prefix: "/sweep/", repeatable: true, gather: target };
+const gather = { shards: SHARDS, topRecords: 5, leastShare: 0.9 };
+const route = { host: "h", name: "sweep", prefix: "/sweep/", repeatable: true, gather };
 platform.put(
   "config",
   "main",
   toOperatorConfiguration({ version: 1, routes: [route], services: SHARDS }),
 );
-const others = new PlayedBoxes();
+const simulatedBoxes = new SimulatedBoxes();
 const folder = mkdtempSync(join(tmpdir(), "rackvale-standby-"));
 const settingsPath = join(folder, "boot.toml");
-writeFileSync(settingsPath, settingsText(others.seeds, platform.port));
+writeFileSync(settingsPath, settingsText(simulatedBoxes.seeds, platform.port));
 const box = await startProcess("bin/rackvale_box.js", [], {
   env: { RACKVALE_SETTINGS: settingsPath },
   startedText: "box: started",
 });
-const questions = setInterval(() => {
-  others.ask();
+const requestTimer = setInterval(() => {
+  simulatedBoxes.sendRequest();
   request(`http://${MEASURED_ADDRESS}:${READINESS_PORT}/api/readyz`, { reset: true })
     .then(({ body }) => body.dump())
     .catch(() => undefined);
 }, 1_000);
 await measure(box);
-clearInterval(questions);
+clearInterval(requestTimer);
 box.signal("SIGKILL");
 await box.ended;
-others.close();
+simulatedBoxes.close();
 platform.close();
 rmSync(folder, { recursive: true, force: true });
