--- a/box/_make_runner.ts
+++ b/box/_make_runner.ts
@@ -11,7 +11,10 @@
 
 /** Options of {@link makeRunner}. */
 export interface MakeRunnerOptions
-  extends Omit<RunnerOptions, "noteQueue" | "creditRequest" | "takeExtraCall" | "extraCallsLeft"> {
+  extends Omit<
+    RunnerOptions,
+    "recordQueue" | "creditRequest" | "takeExtraCall" | "extraCallsLeft"
+  > {
   readonly budgets: ExtraCallBudgets;
   readonly telemetry: Pick<BoxTelemetry, "extraCalls">;
 }
@@ -27,7 +30,7 @@
   const queueSamples = new Map<string, QueueSamples>();
   return new RequestRunner({
     ...options,
-    noteQueue: (index, queueMs) => {
+    recordQueue: (index, queueMs) => {
       const samples = addQueueSample(queueSamples.get(index) ?? [], { queueMs, atMs: nowMs() });
       queueSamples.set(index, samples);
       return persistentQueueMs(samples);
--- a/box/_relay_requests.ts
+++ b/box/_relay_requests.ts
@@ -18,7 +18,7 @@
 import type { ForwardedRequest } from "./_runner_options.js";
 
 type RelayEffect = Extract<RequestEffect, { readonly kind: "relay" }>;
-type AskThroughEffect = Extract<RequestEffect, { readonly kind: "askThrough" }>;
+type RelaySeparatelyEffect = Extract<RequestEffect, { readonly kind: "relaySeparately" }>;
 
 /** Options of {@link RelayRequests}. */
 export interface RelayRequestsOptions {
@@ -44,7 +44,7 @@
   declined: "full",
   refused: "full",
   failed: "failed",
-  "connection lost": "failed",
+  "connection closed": "failed",
   blocked: "abandoned",
 } as const;
 
@@ -97,7 +97,7 @@
    *
    * @param effect - The leafs and the top-k threshold of records to return.
    */
-  sendSeparate({ box, calls, minRecord, deadlineAtMs }: AskThroughEffect): void {
+  sendSeparate({ box, calls, minRecord, deadlineAtMs }: RelaySeparatelyEffect): void {
     const { onEnded, onOpen, dispatch } = this.#options;
     const recorders = this.#createRecorders(calls);
     const pending = new Map(calls.map(({ service, attemptId }) => [service, attemptId]));
@@ -171,7 +171,7 @@
     calls: ReadonlyArray<{ readonly service: string; readonly leafId: string }>,
   ): CallRecorders {
     return new Map(
-      calls.map(({ service, leafId }) => [service, this.#options.calls.noteRelayed(leafId)]),
+      calls.map(({ service, leafId }) => [service, this.#options.calls.recordRelayedCall(leafId)]),
     );
   }
 
@@ -183,7 +183,7 @@
       quarantine.recordAnswer(fingerprint);
     }
     for (const reason of failed.values()) {
-      if (reason === "connection lost") {
+      if (reason === "connection closed") {
         quarantine.recordCrash({ fingerprint, isTrial: false });
       } else if (reason === "blocked") {
         quarantine.applyRemoteBlock(fingerprint);
@@ -207,4 +207,4 @@
 }
 
 /** Functions by service that record how the call to its leaf ended. */
-type CallRecorders = ReadonlyMap<string, ReturnType<LeafCalls["noteRelayed"]>>;
+type CallRecorders = ReadonlyMap<string, ReturnType<LeafCalls["recordRelayedCall"]>>;
--- a/box/_run_context.ts
+++ b/box/_run_context.ts
@@ -140,7 +140,7 @@
     return queueMs;
   }
 
-  calling(): CallPermission {
+  permission(): CallPermission {
     return this.#box.quarantine.permission(this.#fingerprint);
   }
 
@@ -152,8 +152,8 @@
     return this.#box.quarantine.retryAfterMs(this.#fingerprint);
   }
 
-  noteQueue(index: string, queueMs: number): number {
-    return this.#box.noteQueue(index, queueMs);
+  recordQueue(index: string, queueMs: number): number {
+    return this.#box.recordQueue(index, queueMs);
   }
 
   extraCallsLeft(service: string): number {
--- a/box/_runner_options.ts
+++ b/box/_runner_options.ts
@@ -39,7 +39,7 @@
   readonly quarantine: Quarantine;
   readonly access: LeafAccess;
   /** Records the queue time at an index's leafs; returns the minimum of the latest samples. All in milliseconds. */
-  readonly noteQueue: (index: string, queueMs: number) => number;
+  readonly recordQueue: (index: string, queueMs: number) => number;
   readonly creditRequest: (service: string) => void;
   readonly takeExtraCall: (service: string, kind: ExtraCallKind) => boolean;
   /** Returns the number of extra calls that the service's budget currently allows. */
--- a/box/request_runner.ts
+++ b/box/request_runner.ts
@@ -213,7 +213,7 @@
       this.#call(effect);
     },
     relay: (effect) => this.#relayRequests.sendMerged(effect),
-    askThrough: (effect) => this.#relayRequests.sendSeparate(effect),
+    relaySeparately: (effect) => this.#relayRequests.sendSeparate(effect),
     abandon: ({ attemptId }) => this.#openCalls.get(attemptId)?.abandon(),
     withdraw: ({ attemptId }) => this.#openCalls.get(attemptId)?.withdraw(),
     wake: ({ timer, atMs }) => {
--- a/calls/_answer_reader.ts
+++ b/calls/_answer_reader.ts
@@ -32,7 +32,7 @@
 export interface AnswerReaderOptions {
   readonly nowMs: () => number;
   /** Checked again when a connection becomes available, as the call may have waited for it. */
-  readonly access: Pick<LeafAccess, "blockReasonForCall" | "noteSent">;
+  readonly access: Pick<LeafAccess, "blockReasonForCall" | "recordCallSent">;
 }
 
 /**
@@ -83,7 +83,7 @@
       this.#end(blockedOutcome(blockReason));
       return false;
     }
-    this.#options.access.noteSent(this.#call.leaf);
+    this.#options.access.recordCallSent(this.#call.leaf);
     return true;
   }
 
--- a/calls/_leaf_call_harness.ts
+++ b/calls/_leaf_call_harness.ts
@@ -46,7 +46,7 @@
     routes: () => undefined,
     regionOf: (dataCentre) => dataCentre,
     evacuated: () => new Set(),
-    coldLeafs: { isCold: () => false, mayCall: () => true, noteSent: () => undefined },
+    coldLeafs: { isCold: () => false, mayCall: () => true, recordCallSent: () => undefined },
     quarantine,
   });
 }
--- a/calls/leaf_calls.ts
+++ b/calls/leaf_calls.ts
@@ -37,7 +37,7 @@
   /** Receives the outcome of each call, as a query may crash the leafs that run it. */
   readonly quarantine: Pick<Quarantine, "permission" | "endTrial" | "recordAnswer" | "recordCrash">;
   /** Checked right before each call is sent. */
-  readonly access: Pick<LeafAccess, "blockReasonForCall" | "noteSent">;
+  readonly access: Pick<LeafAccess, "blockReasonForCall" | "recordCallSent">;
   /** Called when a call is sent while none is open. */
   readonly onBusy?: () => void;
   /** Called with the result of each call. */
@@ -113,7 +113,7 @@
     this.#nextCallId += 1;
     const eventLoopIdleMs = this.#options.eventLoopIdleMs();
     const incarnation = this.#incarnationOf(call.leaf.leafId);
-    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs: eventLoopIdleMs });
+    incarnation.health = recordCallSent(incarnation.health, { callId, eventLoopIdleMs });
     const handler = new AnswerReader(call, this.#options, ({ outcome, ...loadReport }) => {
       this.#open.delete(callId);
       const end: CallEnd = {
@@ -147,12 +147,12 @@
    * @param leafId - The leaf that is expected to be called.
    * @returns A function that records the result; only its first call has an effect.
    */
-  noteRelayed(leafId: string): (result: CallEnd["result"]) => void {
+  recordRelayedCall(leafId: string): (result: CallEnd["result"]) => void {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
     const eventLoopIdleMs = this.#options.eventLoopIdleMs();
     const incarnation = this.#incarnationOf(leafId);
-    incarnation.health = recordCallSent(incarnation.health, { callId, waitedMs: eventLoopIdleMs });
+    incarnation.health = recordCallSent(incarnation.health, { callId, eventLoopIdleMs });
     let hasEnded = false;
     return (result) => {
       if (!hasEnded) {
--- a/calls/leaf_incarnation_test.ts
+++ b/calls/leaf_incarnation_test.ts
@@ -113,7 +113,7 @@
     }));
     setLeafs(calls, leafs);
     for (const { leafId } of leafs) {
-      calls.noteRelayed(leafId)("answered");
+      calls.recordRelayedCall(leafId)("answered");
     }
     setLeafs(calls, []);
     t.same(
--- a/leaf_access/cold_leafs.ts
+++ b/leaf_access/cold_leafs.ts
@@ -138,7 +138,7 @@
    *
    * @param leaf - The leaf.
    */
-  noteSent({ leafId }: Leaf): void {
+  recordCallSent({ leafId }: Leaf): void {
     if (this.isCold(leafId)) {
       this.#sentAtMs.set(leafId, [...this.#recent(leafId), this.#options.nowMs()]);
     }
--- a/leaf_access/cold_leafs_test.ts
+++ b/leaf_access/cold_leafs_test.ts
@@ -59,7 +59,7 @@
     for (; clock.nowMs < 2_900; clock.nowMs += 7) {
       for (const box of boxes) {
         if (box.mayCall(COLD)) {
-          box.noteSent(COLD);
+          box.recordCallSent(COLD);
           sentAtMs.push(clock.nowMs);
         }
       }
@@ -79,7 +79,7 @@
   let sent = 0;
   for (const box of [partitioned, ...others]) {
     while (box.mayCall(COLD)) {
-      box.noteSent(COLD);
+      box.recordCallSent(COLD);
       sent += 1;
     }
   }
--- a/leaf_access/leaf_access.ts
+++ b/leaf_access/leaf_access.ts
@@ -21,7 +21,7 @@
   readonly regionOf: (dataCentre: string) => string;
   /** Data centres whose leafs may not be called. */
   readonly evacuated: () => ReadonlySet<string>;
-  readonly coldLeafs: Pick<ColdLeafs, "isCold" | "mayCall" | "noteSent">;
+  readonly coldLeafs: Pick<ColdLeafs, "isCold" | "mayCall" | "recordCallSent">;
   readonly quarantine: Pick<Quarantine, "permission">;
 }
 
@@ -102,8 +102,8 @@
    *
    * @param leaf - The leaf.
    */
-  noteSent(leaf: Leaf): void {
-    this.#options.coldLeafs.noteSent(leaf);
+  recordCallSent(leaf: Leaf): void {
+    this.#options.coldLeafs.recordCallSent(leaf);
   }
 
   /**
--- a/leaf_access/leaf_access_test.ts
+++ b/leaf_access/leaf_access_test.ts
@@ -36,7 +36,7 @@
     routes: () => tableOf([]),
     regionOf: (dataCentre) => dataCentre.slice(0, "north".length),
     evacuated: () => new Set(),
-    coldLeafs: { isCold: () => false, mayCall: () => true, noteSent: () => undefined },
+    coldLeafs: { isCold: () => false, mayCall: () => true, recordCallSent: () => undefined },
     quarantine: { permission: () => "unrestricted" },
     ...options,
   });
--- a/leafs/leaf_health.ts
+++ b/leafs/leaf_health.ts
@@ -89,11 +89,11 @@
  */
 export function recordCallSent(
   health: LeafHealth,
-  { callId, waitedMs }: { readonly callId: number; readonly waitedMs: number },
+  { callId, eventLoopIdleMs }: { readonly callId: number; readonly eventLoopIdleMs: number },
 ): LeafHealth {
   return {
     ...health,
-    openCalls: [...health.openCalls, { callId, sentAtIdleMs: waitedMs }],
+    openCalls: [...health.openCalls, { callId, sentAtIdleMs: eventLoopIdleMs }],
   };
 }
 
--- a/leafs/leaf_health_test.ts
+++ b/leafs/leaf_health_test.ts
@@ -11,13 +11,13 @@
 /** Sends calls one after another; each ends with the given result. */
 function healthAfter(results: ReadonlyArray<CallEnd["result"]>): LeafHealth {
   return results.reduce((health, result, callId) => {
-    const sent = recordCallSent(health, { callId, waitedMs: callId });
+    const sent = recordCallSent(health, { callId, eventLoopIdleMs: callId });
     return recordCallEnd(sent, { callId, nowMs: callId, eventLoopIdleMs: callId, result });
   }, INITIAL_LEAF_HEALTH);
 }
 
 t.test("a leaf's latency excludes stalls of the box itself", async (t) => {
-  const sent = recordCallSent(INITIAL_LEAF_HEALTH, { callId: 1, waitedMs: 100 });
+  const sent = recordCallSent(INITIAL_LEAF_HEALTH, { callId: 1, eventLoopIdleMs: 100 });
   const ended = recordCallEnd(sent, {
     callId: 1,
     nowMs: 500,
--- a/relay/_failed_part_of.ts
+++ b/relay/_failed_part_of.ts
@@ -28,7 +28,7 @@
   refused: () => "refused",
   failed: ({ blockReason, connectionClosed = false, sent }) => {
     if (connectionClosed) {
-      return "connection lost";
+      return "connection closed";
     }
     if (blockReason?.kind === "quarantined") {
       return "blocked";
--- a/relay/relay_calls.ts
+++ b/relay/relay_calls.ts
@@ -151,7 +151,7 @@
     this.#nextCallId += 1;
     const sent = recordCallSent(this.#healthOf(member), {
       callId,
-      waitedMs: this.#eventLoopIdleMs(),
+      eventLoopIdleMs: this.#eventLoopIdleMs(),
     });
     this.#health.set(member.memberId, sent);
     const reader = new RelayResponseReader(request, listener, {
--- a/relay/relay_frames.ts
+++ b/relay/relay_frames.ts
@@ -24,7 +24,7 @@
   "declined",
   "refused",
   "failed",
-  "connection lost",
+  "connection closed",
   "blocked",
 ];
 
--- a/relay/relay_frames_test.ts
+++ b/relay/relay_frames_test.ts
@@ -15,7 +15,13 @@
     .array(
       fc.tuple(
         SERVICE,
-        fc.constantFrom<FailedPart>("declined", "refused", "failed", "connection lost", "blocked"),
+        fc.constantFrom<FailedPart>(
+          "declined",
+          "refused",
+          "failed",
+          "connection closed",
+          "blocked",
+        ),
       ),
     )
     .map((pairs) => new Map(pairs)),
--- a/replay/replay_box.ts
+++ b/replay/replay_box.ts
@@ -232,7 +232,10 @@
   noteSent(leafId: string): (result: CallEnd["result"], told?: ReportedLoad) => void {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const sent = recordCallSent(this.#conditionOf(leafId), { callId, waitedMs: this.waitedMs });
+    const sent = recordCallSent(this.#conditionOf(leafId), {
+      callId,
+      eventLoopIdleMs: this.waitedMs,
+    });
     this.#conditions.set(leafId, sent);
     return (result, told) => {
       const { nowMs } = this.#options.schedule;
--- a/replay/replay_query.ts
+++ b/replay/replay_query.ts
@@ -97,7 +97,7 @@
     return { box: relayPlace, expectedMs: 2 * FAR_WAY_MS + 30 };
   }
 
-  noteQueue(index: string, queueMs: number): number {
+  recordQueue(index: string, queueMs: number): number {
     return this.#options.box.noteQueue(index, queueMs);
   }
 
@@ -105,7 +105,7 @@
     return this.#options.box.extraCallsLeft(service);
   }
 
-  calling(): "unrestricted" {
+  permission(): "unrestricted" {
     return "unrestricted";
   }
 
@@ -131,7 +131,7 @@
       });
     },
     relay: (effect) => this.#relay(effect),
-    askThrough: ({ box, calls }) => this.#askThrough(box, calls),
+    relaySeparately: ({ box, calls }) => this.#askThrough(box, calls),
     abandon: () => undefined,
     withdraw: () => undefined,
     wake: ({ timer, atMs }) => this.#wake(timer, atMs),
@@ -212,7 +212,7 @@
   declined: "full",
   refused: "full",
   failed: "failed",
-  "connection lost": "failed",
+  "connection closed": "failed",
   blocked: "full",
 };
 
--- a/request/_attempts.ts
+++ b/request/_attempts.ts
@@ -56,7 +56,7 @@
   if (refused !== undefined) {
     return refused;
   }
-  if (context.calling() !== "unrestricted") {
+  if (context.permission() !== "unrestricted") {
     return sendFirstCallsSequentially(first, context);
   }
   const congested = queueLoad.queueMs > queueLoad.mostQueueMs;
@@ -159,7 +159,7 @@
   const { objectiveAtMs, arrivedAtMs, maxAttempts, route } = state.terms;
   const objectiveMs = objectiveAtMs - arrivedAtMs;
   const atMs = context.nowMs + objectiveMs * DEFER_OBJECTIVE_SHARE;
-  const permission = context.calling();
+  const permission = context.permission();
   const mayDefer =
     (route.target.kind === "gather" || (route.repeatable && permission === "deferred")) &&
     permission !== "blocked" &&
@@ -195,7 +195,7 @@
   if (leaf === undefined || (isHedging && wouldLengthenQueues(state, leaf))) {
     return step(state);
   }
-  const permission = context.calling();
+  const permission = context.permission();
   if (permission === "deferred" || permission === "blocked") {
     return step(state);
   }
--- a/request/_refusals.ts
+++ b/request/_refusals.ts
@@ -38,7 +38,7 @@
     return { mostQueueMs, queueMs: 0, standingMs: 0 };
   }
   const queueMs = queueQuantileMs(callsOf(plan).map(({ leaf }) => leaf.queueMs));
-  const standingMs = context.noteQueue(shards[0]?.service ?? "", queueMs);
+  const standingMs = context.recordQueue(shards[0]?.service ?? "", queueMs);
   return { mostQueueMs, queueMs, standingMs };
 }
 
@@ -60,7 +60,7 @@
   first: RefusedStep,
   { plan, queueLoad, context }: PlannedQuery,
 ): RefusedStep | undefined {
-  if (context.calling() === "blocked") {
+  if (context.permission() === "blocked") {
     return refuse(first, {
       reason: "leafs were lost under it",
       retryAfterMs: context.blockedForMs(),
--- a/request/_remote_calls.ts
+++ b/request/_remote_calls.ts
@@ -35,7 +35,7 @@
       const { deadlineAtMs } = state.terms;
       const remoteCalls = calls.map((call) => toRemoteCall(state, call));
       relayRequests.push({
-        kind: "askThrough",
+        kind: "relaySeparately",
         box: box.box,
         calls: remoteCalls,
         minRecord,
--- a/request/_request_driver.ts
+++ b/request/_request_driver.ts
@@ -51,7 +51,7 @@
   /** Expected queue wait at each service's leafs, in milliseconds; 0 by default. */
   readonly queueMs?: Readonly<Record<string, number>>;
   /** How the first call may be made; unrestricted by default. */
-  readonly calling?: CallPermission;
+  readonly permission?: CallPermission;
   /** Expected failure rate of calls to each service's leafs; 0 by default. */
   readonly failureRate?: Readonly<Record<string, number>>;
   /** Called with the kind of each extra call. */
@@ -82,7 +82,7 @@
   /**
    * How the next call may be made. Deferred from the start of a probe call until a test changes it.
    */
-  calling: CallPermission;
+  permission: CallPermission;
 
   constructor(route: Route, options: RequestDriverOptions = {}) {
     const {
@@ -96,7 +96,7 @@
     this.failureRate = options.failureRate ?? {};
     this.extraCalls = extraCalls;
     this.persistentQueues = options.persistentQueues ?? true;
-    this.calling = options.calling ?? "unrestricted";
+    this.permission = options.permission ?? "unrestricted";
     this.onExtraCall = options.onExtraCall ?? (() => undefined);
     this.remoteLeafs = remoteLeafs;
     const terms = {
@@ -133,11 +133,11 @@
       chooseBox: (region) => {
         return this.hasBox ? { box: `box in ${region}`, expectedMs: 5 } : undefined;
       },
-      noteQueue: (_index, queueMs) => (this.persistentQueues ? queueMs : 0),
+      recordQueue: (_index, queueMs) => (this.persistentQueues ? queueMs : 0),
       extraCallsLeft: () => this.extraCalls,
-      calling: () => this.calling,
+      permission: () => this.permission,
       beginTrial: () => {
-        this.calling = "deferred";
+        this.permission = "deferred";
       },
       blockedForMs: () => 700,
       takeExtraCall: (_service, kind) => {
--- a/request/blocked_query_test.ts
+++ b/request/blocked_query_test.ts
@@ -24,47 +24,47 @@
 }
 
 t.test("a blocked query is refused before any call is sent", async (t) => {
-  const driver = new RequestDriver(GATHER_MANY, { calling: "blocked" });
+  const driver = new RequestDriver(GATHER_MANY, { permission: "blocked" });
   t.same(calledLeafIds(driver.effects), []);
   t.match(replyOf(driver.effects), { kind: "notRun", retryAfterMs: 700 });
 });
 
 t.test("a suspected query calls one leaf first, and all others once it has answered", async (t) => {
-  const driver = new RequestDriver(GATHER_MANY, { calling: "exclusive" });
+  const driver = new RequestDriver(GATHER_MANY, { permission: "exclusive" });
   t.same(calledLeafIds(driver.effects), ["s1-a"]);
   const call = driver.effects.find(({ kind }) => kind === "call");
   t.match(call, { isTrial: true });
   t.same(retryDeferred(driver), [], "the other shards are deferred");
-  driver.calling = "unrestricted";
+  driver.permission = "unrestricted";
   driver.endAttempt(1, answered(200, "x"));
   t.same(retryDeferred(driver), ["s2-a", "s3-a", "s4-a"]);
 });
 
 t.test("calls deferred by a probe are not extra calls", async (t) => {
-  const driver = new RequestDriver(GATHER_MANY, { calling: "exclusive", extraCalls: 0 });
-  driver.calling = "unrestricted";
+  const driver = new RequestDriver(GATHER_MANY, { permission: "exclusive", extraCalls: 0 });
+  driver.permission = "unrestricted";
   driver.endAttempt(1, answered(200, "x"));
   t.equal(retryDeferred(driver).length, 3);
 });
 
 t.test("a probe is sent to its leaf directly, not through a box near it", async (t) => {
-  const driver = new RequestDriver(GATHER_MANY, { calling: "exclusive", remote: true });
+  const driver = new RequestDriver(GATHER_MANY, { permission: "exclusive", remote: true });
   t.same(calledLeafIds(driver.effects), ["s1-a"]);
-  t.notOk(driver.effects.some(({ kind }) => kind === "relay" || kind === "askThrough"));
+  t.notOk(driver.effects.some(({ kind }) => kind === "relay" || kind === "relaySeparately"));
 });
 
 t.test("a suspected query is deferred while another request probes it", async (t) => {
-  const driver = new RequestDriver(GATHER_MANY, { calling: "deferred" });
+  const driver = new RequestDriver(GATHER_MANY, { permission: "deferred" });
   t.same(calledLeafIds(driver.effects), []);
   t.equal(replyOf(driver.effects), undefined);
-  driver.calling = "unrestricted";
+  driver.permission = "unrestricted";
   t.equal(retryDeferred(driver).length, 4);
 });
 
 t.test("crashed leafs of an unanswered query are replaced one at a time", async (t) => {
   const driver = new RequestDriver(GATHER_MANY);
   t.equal(calledLeafIds(driver.effects).length, 4);
-  driver.calling = "exclusive";
+  driver.permission = "exclusive";
   t.same(calledLeafIds(driver.endAttempt(1, CRASHED)), ["s1-b"]);
   t.same(calledLeafIds(driver.endAttempt(2, CRASHED)), [], "a probe is in flight");
   t.same(calledLeafIds(driver.endAttempt(3, CRASHED)), []);
@@ -72,9 +72,9 @@
 
 t.test("a query that becomes blocked fails immediately, and may have run", async (t) => {
   const driver = new RequestDriver(GATHER_MANY);
-  driver.calling = "exclusive";
+  driver.permission = "exclusive";
   driver.endAttempt(1, CRASHED);
-  driver.calling = "blocked";
+  driver.permission = "blocked";
   driver.endAttempt(2, CRASHED);
   driver.endAttempt(3, CRASHED);
   const effects = driver.endAttempt(4, CRASHED);
@@ -83,7 +83,7 @@
 
 t.test("a shard whose call another box blocked is not called elsewhere", async (t) => {
   const driver = new RequestDriver(GATHER_MANY);
-  driver.calling = "blocked";
+  driver.permission = "blocked";
   t.same(calledLeafIds(driver.endAttempt(1, BLOCKED)), []);
   t.same(calledLeafIds(driver.endAttempt(2, BLOCKED)), []);
   const reply = replyOf(driver.endAttempt(3, BLOCKED));
@@ -91,9 +91,9 @@
 });
 
 t.test("a suspected non-repeatable request to a single leaf is sent once or refused", async (t) => {
-  const probing = new RequestDriver(NON_REPEATABLE, { calling: "exclusive" });
+  const probing = new RequestDriver(NON_REPEATABLE, { permission: "exclusive" });
   t.same(calledLeafIds(probing.effects), ["s1-a"]);
-  const deferred = new RequestDriver(NON_REPEATABLE, { calling: "deferred" });
+  const deferred = new RequestDriver(NON_REPEATABLE, { permission: "deferred" });
   t.match(
     replyOf(deferred.effects),
     { kind: "notRun" },
@@ -102,8 +102,8 @@
 });
 
 t.test("a suspected repeatable request to a single leaf is deferred", async (t) => {
-  const driver = new RequestDriver(SINGLE, { calling: "deferred" });
+  const driver = new RequestDriver(SINGLE, { permission: "deferred" });
   t.equal(replyOf(driver.effects), undefined);
-  driver.calling = "exclusive";
+  driver.permission = "exclusive";
   t.same(retryDeferred(driver), ["s1-a"]);
 });
--- a/request/failed_part.ts
+++ b/request/failed_part.ts
@@ -9,7 +9,7 @@
   declined: { kind: "failed", sent: false, reason: "declined" },
   refused: { kind: "refused", reason: "full" },
   failed: { kind: "failed", sent: true, reason: "part is missing" },
-  "connection lost": {
+  "connection closed": {
     kind: "failed",
     sent: true,
     reason: "leaf disconnected",
--- a/request/relayed_test.ts
+++ b/request/relayed_test.ts
@@ -87,7 +87,7 @@
     driver.leafs = ["a"];
     const leafs = [{ leafId: "s1-a" }, { leafId: "s2-a" }];
     t.match(driver.endAttempt(1, missing)[0], {
-      kind: "askThrough",
+      kind: "relaySeparately",
       box: "box in south",
       calls: leafs,
     });
@@ -103,7 +103,7 @@
     driver.nowMs = 50;
     const effects = driver.dispatch({ kind: "timer", timer: "hedge" });
     t.match(effects[0], {
-      kind: "askThrough",
+      kind: "relaySeparately",
       box: "box in south",
       calls: [
         { attemptId: 5, service: "s3", leafId: "s3-b" },
@@ -136,7 +136,7 @@
   const effects = allRemote.dispatch({ kind: "partsRelayed", attemptId: 1, parts });
   t.match(
     effects[0],
-    { kind: "askThrough", minRecord: undefined },
+    { kind: "relaySeparately", minRecord: undefined },
     "one of two records has been received",
   );
 });
--- a/request/request_state.ts
+++ b/request/request_state.ts
@@ -32,7 +32,7 @@
   /** The leaf gave no complete answer. */
   | "failed"
   /** The leaf's connection was closed before it answered. */
-  | "connection lost"
+  | "connection closed"
   /** The box blocks the query because it has crashed leafs. */
   | "blocked";
 
@@ -220,7 +220,7 @@
     }
   /** Calls remote leafs through one box near them. Each part is returned separately. */
   | {
-      readonly kind: "askThrough";
+      readonly kind: "relaySeparately";
       readonly box: string;
       readonly calls: ReadonlyArray<RemoteCall>;
       /** Lower bound of the records that are wanted; no bound if `undefined`. */
@@ -307,13 +307,13 @@
    *   milliseconds.
    * @returns The persistent queue wait: the minimum of the recent samples, in milliseconds.
    */
-  noteQueue(index: string, queueMs: number): number;
+  recordQueue(index: string, queueMs: number): number;
   /** Charges an extra call to the service's budget, if the budget allows it. */
   takeExtraCall(service: string, kind: ExtraCallKind): boolean;
   /** Returns how many extra calls the service's budget allows now. */
   extraCallsLeft(service: string): number;
   /** Returns how the next call may be made, as the query may have crashed leafs. */
-  calling(): CallPermission;
+  permission(): CallPermission;
   /** Claims the only call that may be in flight. */
   beginTrial(): void;
   /** Returns the retry delay for a blocked query, in milliseconds. */
