--- a/replay/replay_box.ts
+++ b/replay/replay_box.ts
@@ -242,7 +242,10 @@
   recordSent(leafId: string): (result: CallEnd["result"], report?: ReportedLoad) => void {
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
-    const sent = recordCallSent(this.#healthOf(leafId), { callId, waitedMs: this.eventLoopIdleMs });
+    const sent = recordCallSent(this.#healthOf(leafId), {
+      callId,
+      eventLoopIdleMs: this.eventLoopIdleMs,
+    });
     this.#healthByLeaf.set(leafId, sent);
     return (result, report) => {
       const { nowMs } = this.#options.schedule;
--- a/replay/replay_query.ts
+++ b/replay/replay_query.ts
@@ -97,7 +97,7 @@
     return { box: relayPlace, expectedMs: 2 * REMOTE_LATENCY_MS + 30 };
   }
 
-  noteQueue(index: string, queueMs: number): number {
+  recordQueue(index: string, queueMs: number): number {
     return this.#options.box.recordQueue(index, queueMs);
   }
 
@@ -105,7 +105,7 @@
     return this.#options.box.extraCallsLeft(service);
   }
 
-  calling(): "unrestricted" {
+  permission(): "unrestricted" {
     return "unrestricted";
   }
 
@@ -131,7 +131,7 @@
       });
     },
     relay: (effect) => this.#relay(effect),
-    askThrough: ({ box, calls }) => this.#callThrough(box, calls),
+    relaySeparately: ({ box, calls }) => this.#callThrough(box, calls),
     abandon: () => undefined,
     withdraw: () => undefined,
     wake: ({ timer, atMs }) => this.#setTimer(timer, atMs),
@@ -217,7 +217,7 @@
   declined: "full",
   refused: "full",
   failed: "failed",
-  "connection lost": "failed",
+  "connection closed": "failed",
   blocked: "full",
 };
 
