--- a/backend/leaf_client.ts
+++ b/backend/leaf_client.ts
@@ -10,8 +10,8 @@
   LEAF_HEADERS,
   LEAF_PATHS,
   MAX_ANSWER_BYTES,
+  parseLeafAnswer,
   parseSignal,
-  readLeafAnswer,
 } from "./leaf_protocol.js";
 
 /** Outcome of a call, with the state that the leaf reported in its answer. */
@@ -217,7 +217,7 @@
   }
 
   onResponseEnd(): void {
-    const outcome = readLeafAnswer({
+    const outcome = parseLeafAnswer({
       statusCode: this.#statusCode,
       headers: this.#headers,
       text: Buffer.concat(this.#chunks).toString("utf8"),
--- a/backend/leaf_protocol.ts
+++ b/backend/leaf_protocol.ts
@@ -55,7 +55,7 @@
  * @param answer - The unparsed answer.
  * @returns The outcome of the call.
  */
-export function readLeafAnswer(answer: RawLeafAnswer): LeafOutcome {
+export function parseLeafAnswer(answer: RawLeafAnswer): LeafOutcome {
   if (answer.statusCode === 200) {
     return parseRows(answer);
   }
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -10,10 +10,10 @@
 import type { DaemonReport } from "../daemon/mod.js";
 import { parseSettingsOrExit } from "../settings/mod.js";
 import {
+  delay,
   Fleet,
   type FleetProcess,
   getJson,
-  pause,
   postJson,
   SAMPLE_SHAPES,
   startProcess,
@@ -85,7 +85,7 @@
 }
 
 async function countLeafCalls(fleet: Fleet, service: string): Promise<number> {
-  const stats = (await fleet.askBackends("/admin/stats")) as ReadonlyArray<
+  const stats = (await fleet.queryBackends("/admin/stats")) as ReadonlyArray<
     Readonly<Record<string, { readonly calls: number }>>
   >;
   return stats
@@ -114,11 +114,11 @@
   { mode, urls }: { readonly mode: BenchRow["mode"]; readonly urls: () => ReadonlyArray<string> },
 ): Promise<ReadonlyArray<BenchRow>> {
   await scenario.setUp?.(fleet);
-  await pause(SETTLE_MS);
+  await delay(SETTLE_MS);
   const callsBefore = await countLeafCalls(fleet, scenario.service);
   const cpuBefore = await readCpuByRole(fleet);
   const actions = (scenario.actions ?? []).map(async ({ atMs, run }) => {
-    await pause(atMs);
+    await delay(atMs);
     await run(fleet);
   });
   const results = await sendByKind(scenario, urls);
@@ -137,7 +137,7 @@
     printLine(`bench: CPU per leaf call: entry ${entry.toFixed(0)} us, pool ${pool.toFixed(0)} us`);
   }
   await scenario.tearDown?.(fleet);
-  await pause(SETTLE_MS);
+  await delay(SETTLE_MS);
   const minCalls = countMinCalls(scenario.load, results, shardCountOf(scenario.service));
   return Object.entries(results).map(([kind, result]) => ({
     scenario: scenario.name,
--- a/bench/memory_run.ts
+++ b/bench/memory_run.ts
@@ -10,7 +10,7 @@
 import { readFileSync } from "node:fs";
 import { BoxFleet, type PlatformBox, toOperatorConfiguration } from "../platform/standin/mod.js";
 import { parseSettingsOrExit } from "../settings/mod.js";
-import { pause } from "../standins/waiting.js";
+import { delay } from "../standins/waiting.js";
 
 const SHARDS = Array.from({ length: 20 }, (_, index) => `shard-${index + 1}`);
 
@@ -105,7 +105,7 @@
 const loading = load.run();
 const samples: Array<Sample> = [];
 for (let index = 1; index <= SAMPLE_COUNT; index++) {
-  await pause((settings.seconds * 1_000) / SAMPLE_COUNT);
+  await delay((settings.seconds * 1_000) / SAMPLE_COUNT);
   const sample = {
     atS: Math.round((index * settings.seconds) / SAMPLE_COUNT),
     residentMb: fleet.boxes.map(({ process }) => readResidentMb(process.pid)),
--- a/bench/scenarios.ts
+++ b/bench/scenarios.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { Fleet } from "../standins/mod.js";
-import { pause } from "../standins/mod.js";
+import { delay } from "../standins/mod.js";
 import { type PlannedQuery, steadyLoad } from "./open_loop.js";
 
 /** An action during a scenario. */
@@ -109,9 +109,9 @@
   for (const { box, dataCentre, entry, pool } of [...fleet.boxes]) {
     entry.signal("SIGTERM");
     pool.signal("SIGTERM");
-    await Promise.all([entry.ended, pool.ended]);
+    await Promise.all([entry.exited, pool.exited]);
     await fleet.addBox(box, dataCentre);
-    await pause(500);
+    await delay(500);
   }
 }
 
--- a/bench/standby_cost.ts
+++ b/bench/standby_cost.ts
@@ -18,7 +18,7 @@
 import { startPlatformStandin, toOperatorConfiguration } from "../platform/standin/mod.js";
 import { parseSettingsOrExit } from "../settings/mod.js";
 import { type FleetProcess, startProcess } from "../standins/processes.js";
-import { pause } from "../standins/waiting.js";
+import { delay } from "../standins/waiting.js";
 
 const { settings } = parseSettingsOrExit(
   "Usage: npm run standby-cost -- [--boxes N] [--seconds N]",
@@ -179,9 +179,9 @@
 }
 
 async function measure({ pid }: FleetProcess): Promise<void> {
-  await pause(SETTLE_MS);
+  await delay(SETTLE_MS);
   const before = readUsage(pid);
-  await pause(settings.seconds * 1_000);
+  await delay(settings.seconds * 1_000);
   const after = readUsage(pid);
   const perSecond = (from: number, to: number): number => (to - from) / settings.seconds;
   const percent = (from: number, to: number): string => (perSecond(from, to) / 10).toFixed(2);
@@ -218,7 +218,7 @@
 await measure(box);
 clearInterval(requestTimer);
 box.signal("SIGKILL");
-await box.ended;
+await box.exited;
 simulatedBoxes.close();
 platform.close();
 rmSync(folder, { recursive: true, force: true });
--- a/box/adaptive_timer_test.ts
+++ b/box/adaptive_timer_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { pause } from "../standins/waiting.js";
+import { delay } from "../standins/waiting.js";
 import { AdaptiveTimer } from "./adaptive_timer.js";
 
 function makeTimer({ isBusy }: { readonly isBusy: () => boolean }) {
@@ -18,17 +18,17 @@
 
 t.test("an idle timer runs once and then waits", async (t) => {
   const { timer, runs } = makeTimer({ isBusy: () => false });
-  await pause(200);
+  await delay(200);
   t.equal(runs(), 1);
   timer.stop();
 });
 
 t.test("wake() ends the idle interval, once", async (t) => {
   const { timer, runs } = makeTimer({ isBusy: () => false });
-  await pause(100);
+  await delay(100);
   timer.wake();
   timer.wake();
-  await pause(100);
+  await delay(100);
   t.equal(runs(), 2);
   timer.stop();
 });
@@ -37,11 +37,11 @@
   const { timer, runs } = makeTimer({ isBusy: () => true });
   for (let round = 0; round < 20; round++) {
     timer.wake();
-    await pause(10);
+    await delay(10);
   }
   t.ok(runs() >= 4, `${runs()} runs`);
   timer.stop();
   const ended = runs();
-  await pause(60);
+  await delay(60);
   t.equal(runs(), ended);
 });
--- a/calls/leaf_incarnation_test.ts
+++ b/calls/leaf_incarnation_test.ts
@@ -6,7 +6,7 @@
 import type { Leaf } from "../leafs/mod.js";
 import { LEAF_HEADERS } from "../platform/mod.js";
 import type { AttemptOutcome } from "../request/mod.js";
-import { until } from "../standins/waiting.js";
+import { waitUntil } from "../standins/waiting.js";
 import {
   LOOPBACK,
   leafAt,
@@ -83,7 +83,7 @@
     const calls = makeLeafCalls();
     setLeafs(calls, [incarnation(leaf.server, 1)]);
     const unanswered = callLeaf(calls, incarnation(leaf.server, 1), "r1");
-    await until(async () => leaf.requestIds.length === 1, "the call has reached the leaf");
+    await waitUntil(async () => leaf.requestIds.length === 1, "the call has reached the leaf");
     setLeafs(calls, [incarnation(leaf.server, 2)]);
     leaf.closeConnections();
     t.match(await unanswered, { kind: "failed", sent: true }, "it may have run");
@@ -96,7 +96,7 @@
   const calls = makeLeafCalls(1);
   setLeafs(calls, [incarnation(leaf.server, 1)]);
   void callLeaf(calls, incarnation(leaf.server, 1), "r1");
-  await until(async () => leaf.requestIds.length === 1, "the call has reached the leaf");
+  await waitUntil(async () => leaf.requestIds.length === 1, "the call has reached the leaf");
   const pending = callLeaf(calls, incarnation(leaf.server, 1), "r2");
   setLeafs(calls, [incarnation(leaf.server, 2)]);
   t.match(await pending, { kind: "failed", sent: false });
--- a/calls/unresponsive_leaf_test.ts
+++ b/calls/unresponsive_leaf_test.ts
@@ -2,7 +2,7 @@
 import type { Socket } from "node:net";
 import t from "tap";
 import { LEAF_HEADERS } from "../platform/mod.js";
-import { pause, until } from "../standins/waiting.js";
+import { delay, waitUntil } from "../standins/waiting.js";
 import { LOOPBACK, leafCall, makeLeafCalls, portOf, sendCall } from "./_leaf_call_harness.js";
 
 /**
@@ -32,15 +32,15 @@
       ends.push(`${requestId} ${kind}`);
     });
   });
-  await until(async () => requestIds.length === 1, "a call has reached the leaf");
+  await waitUntil(async () => requestIds.length === 1, "a call has reached the leaf");
   sent[0]?.withdraw();
   sent[1]?.withdraw();
   t.same(ends, ["r2 failed"], "the pending call has ended immediately");
   open[0]?.();
-  await until(async () => requestIds.length === 2, "the next call has reached the leaf");
+  await waitUntil(async () => requestIds.length === 2, "the next call has reached the leaf");
   t.same(requestIds, ["r1", "r3"], "the withdrawn call never reached the leaf");
   open[1]?.();
-  await until(async () => ends.length === 3, "all calls have ended");
+  await waitUntil(async () => ends.length === 3, "all calls have ended");
   t.same(ends.slice(1), ["r1 answered", "r3 answered"]);
 });
 
@@ -73,8 +73,8 @@
     unresponsive.add(socket);
   }
   const hung = calls.send(leafCall(port, { leftMs: 60_000 }), () => undefined);
-  await until(async () => unanswered === 1, "a call hangs on an unresponsive connection");
-  await pause(UNRESPONSIVE_MS);
+  await waitUntil(async () => unanswered === 1, "a call hangs on an unresponsive connection");
+  await delay(UNRESPONSIVE_MS);
   const outcome = await sendCall(calls, port, { leftMs: 60_000 });
   t.equal(outcome.kind, "answered", "the next call is not sent on the other connection");
   hung.abandon();
@@ -90,7 +90,7 @@
     const calls = makeLeafCalls(1);
     const port = portOf(server);
     const hung = calls.send(leafCall(port, { leftMs: 60_000 }), () => undefined);
-    await pause(UNRESPONSIVE_MS);
+    await delay(UNRESPONSIVE_MS);
     const outcome = await sendCall(calls, port, { leftMs: 60_000 });
     t.match(outcome, { kind: "failed", sent: false });
     hung.abandon();
--- a/cluster_state/shared_state_fuzz_test.ts
+++ b/cluster_state/shared_state_fuzz_test.ts
@@ -2,8 +2,8 @@
 import { deflateRawSync } from "node:zlib";
 import fc from "fast-check";
 import t from "tap";
+import { corruptedValue } from "../standins/corrupted_value.js";
 import { SAMPLE_LEAF } from "../standins/sample_leaf.js";
-import { spoiltValue } from "../standins/spoilt_value.js";
 import { decodeSharedState, encodeSharedState, type SharedState } from "./shared_state.js";
 
 const TERMS = { repeatable: true, timeoutMs: 1_000, aimMs: 100, priorityRank: 1, maxAttempts: 2 };
@@ -74,7 +74,7 @@
 t.test("decodeSharedState() returns valid state or throws", async (t) => {
   let accepted = 0;
   fc.assert(
-    fc.property(spoiltValue(SHARED, 60), (data) => {
+    fc.property(corruptedValue(SHARED, 60), (data) => {
       try {
         const shared = decodeSharedState(deflateRawSync(JSON.stringify(data)));
         accepted += 1;
--- a/daemon/control_shell.ts
+++ b/daemon/control_shell.ts
@@ -11,7 +11,7 @@
   decodeExchange,
   decodeObjects,
   encodeExchange,
-  PEER_ANSWER_MS,
+  PEER_TIMEOUT_MS,
   type PeerClient,
   peerClient,
 } from "../peer/mod.js";
@@ -87,7 +87,7 @@
     try {
       const request = encodeExchange(exchange);
       count(toBinary(ExchangeMessageSchema, request));
-      const reply = await client(peer).rpc.exchange(request, { timeoutMs: PEER_ANSWER_MS });
+      const reply = await client(peer).rpc.exchange(request, { timeoutMs: PEER_TIMEOUT_MS });
       count(toBinary(ExchangeMessageSchema, reply));
       const decoded = decodeExchange(reply);
       if (decoded !== undefined) {
@@ -104,7 +104,7 @@
     try {
       const reply = await client(effect.peer).rpc.fetchObjects(
         { keys: [...effect.keys] },
-        { timeoutMs: PEER_ANSWER_MS },
+        { timeoutMs: PEER_TIMEOUT_MS },
       );
       reply.objectsJson.forEach(count);
       send({ kind: "objectsFetched", nowMs: nowMs(), objects: decodeObjects(reply.objectsJson) });
@@ -121,7 +121,7 @@
       count: telemetry.run,
       timing: telemetry.run,
       exchange: (effect) => void runExchange(effect),
-      replyExchange: ({ requestId, exchange }) => exchanges.give(requestId, exchange),
+      replyExchange: ({ requestId, exchange }) => exchanges.resolve(requestId, exchange),
       fetchObjects: (effect) => void fetchObjects(effect),
       watchPlatform: ({ enabled }) => watch.enable(enabled),
       stop: options.stop,
--- a/daemon/daemon_settings.ts
+++ b/daemon/daemon_settings.ts
@@ -49,7 +49,7 @@
 /** Parsed settings common to all daemons. */
 export type DaemonSettings = Settings<typeof DAEMON_SPECS>;
 
-/** Options of {@linkcode makeSelf}. */
+/** Options of {@linkcode createSelfMember}. */
 export interface SelfOptions {
   readonly role: Role;
   readonly peerPort: number;
@@ -63,7 +63,7 @@
  * @param options - Role of the daemon and the ports it listens on.
  * @returns The member record.
  */
-export function makeSelf(
+export function createSelfMember(
   settings: DaemonSettings,
   { role, peerPort, callerPort }: SelfOptions,
 ): Member {
--- a/daemon/pending_replies.ts
+++ b/daemon/pending_replies.ts
@@ -29,7 +29,7 @@
    * @param requestId - Id of the request.
    * @param reply - The reply.
    */
-  give(requestId: number, reply: Reply): void {
+  resolve(requestId: number, reply: Reply): void {
     this.#resolvers.get(requestId)?.(reply);
     this.#resolvers.delete(requestId);
   }
--- a/e2e/failures_test.ts
+++ b/e2e/failures_test.ts
@@ -1,16 +1,16 @@
 import t from "tap";
 import type { QueryAnswer } from "../model/mod.js";
 import {
+  delay,
   Fleet,
   type FleetProcess,
   getJson,
-  type JsonAnswer,
+  type JsonResponse,
   type LeafRun,
-  pause,
   postJson,
   SAMPLE_SHAPES,
-  until,
   urlOf,
+  waitUntil,
 } from "../standins/mod.js";
 
 const LEDGER = { ...SAMPLE_SHAPES["payout-ledger"], dataCentres: ["here"] };
@@ -29,7 +29,7 @@
 
 /** Returns the runs of the query with a mark, from the logs of the backend servers. */
 async function runsOf(fleet: Fleet, mark: string): Promise<ReadonlyArray<LeafRun>> {
-  const logs = (await fleet.askBackends("/admin/runs")) as ReadonlyArray<ReadonlyArray<LeafRun>>;
+  const logs = (await fleet.queryBackends("/admin/runs")) as ReadonlyArray<ReadonlyArray<LeafRun>>;
   return logs.flat().filter((run) => run.mark === mark);
 }
 
@@ -83,22 +83,22 @@
       pool.signal("SIGCONT");
     }
     t.equal((await query(two?.entry, body)).outcome, "unknown", "a repeat has the same outcome");
-    await pause(1_000);
+    await delay(1_000);
     t.ok(maxRunsPerShard(await runsOf(fleet, "suspended")) <= 1);
   });
 
   await t.test("when the entry that issued the ticket is killed during the query", async (t) => {
-    await fleet.ready();
+    await fleet.waitUntilReady();
     await fleet.changeLeafs("payout-ledger", { serviceTimeMs: 300 });
     const ticket = await ticketOf(three?.entry);
     const body = { repeatable: false, ticket, sequence: 1, body: { mark: "killed" } };
     const interrupted = query(three?.entry, body).catch(() => undefined);
-    await until(async () => (await runsOf(fleet, "killed")).length > 0, "the query runs");
+    await waitUntil(async () => (await runsOf(fleet, "killed")).length > 0, "the query runs");
     three?.entry.signal("SIGKILL");
     await interrupted;
     const repeated = await query(one?.entry, body);
     t.match(repeated, { outcome: "unknown", notRun: false });
-    await pause(500);
+    await delay(500);
     t.equal(maxRunsPerShard(await runsOf(fleet, "killed")), 1);
   });
 });
@@ -151,7 +151,7 @@
   });
 
   await t.test("a draining server receives no calls though it reports ready", async (t) => {
-    await until(
+    await waitUntil(
       async () => (await sendQuery(0, "recovered")).outcome === "complete",
       "the suspended pool serves again",
     );
@@ -168,9 +168,9 @@
 
   await t.test("a healthy server whose box is listed as leaving receives no calls", async (t) => {
     await fleet.setPlatformFaults({ boxLagMs: 1_500 });
-    await fleet.listLeaving("box-bidscope-07");
+    await fleet.markLeaving("box-bidscope-07");
     let index = 0;
-    await until(async () => {
+    await waitUntil(async () => {
       index += 1;
       await sendQuery(0, `leaving-${index}`);
       const runs = await runsOf(fleet, `leaving-${index}`);
@@ -186,7 +186,7 @@
       [{ caller: "", deadlineMs: 100 }, "caller"],
     ];
     for (const [body, field] of faults) {
-      const { statusCode, body: response } = (await postJson(url(0), body)) as JsonAnswer;
+      const { statusCode, body: response } = (await postJson(url(0), body)) as JsonResponse;
       t.equal(statusCode, 400);
       t.match(response, { error: { field, message: /^Cannot accept field/ } });
     }
--- a/e2e/restarts_test.ts
+++ b/e2e/restarts_test.ts
@@ -1,14 +1,14 @@
 import t from "tap";
 import type { QueryAnswer } from "../model/mod.js";
 import {
+  delay,
   Fleet,
   getJson,
-  pause,
   postJson,
   putJson,
   SAMPLE_SHAPES,
-  until,
   urlOf,
+  waitUntil,
 } from "../standins/mod.js";
 
 const SHAPE = { ...SAMPLE_SHAPES["settle-desk"], dataCentres: ["here"] };
@@ -63,7 +63,7 @@
       } catch (error) {
         failures.push(String(error));
       }
-      await pause(10);
+      await delay(10);
     }
   }
   const callers = ["a", "b", "c", "d"].map(caller);
@@ -71,9 +71,9 @@
     entry.signal("SIGTERM");
     pool.signal("SIGTERM");
     entry.signal("SIGTERM");
-    t.same(await Promise.all([entry.ended, pool.ended]), [0, 0], `${box} exits with status 0`);
+    t.same(await Promise.all([entry.exited, pool.exited]), [0, 0], `${box} exits with status 0`);
     await fleet.addBox(box, "here");
-    await fleet.ready();
+    await fleet.waitUntilReady();
   }
   isDone = true;
   await Promise.all(callers);
@@ -87,7 +87,7 @@
   const { config } = await fleet.addService(SHAPE);
   await fleet.setPlatformFaults({ mode: "silent" });
   const added = await fleet.addBox("box-3", "here");
-  await until(async () => {
+  await waitUntil(async () => {
     const answer = await postJson(`${urlOf(added.entry)}/v1/services/settle-desk/query`, {
       caller: "a",
       deadlineMs: 1_000,
@@ -99,9 +99,9 @@
     await fleet.setPlatformFaults({ mode: "up" });
     const url = `${urlOf(fleet.boxes[0]?.entry)}/v1/services/settle-desk`;
     t.equal((await putJson(url, { ...config, policies: { retry: "2" } })).statusCode, 200);
-    await fleet.inForce("service/settle-desk", 2);
+    await fleet.waitUntilActive("service/settle-desk", 2);
     await fleet.setPlatformFaults({ staleVersions: 1 });
-    await pause(3_000);
+    await delay(3_000);
     const status = (await getJson(`${urlOf(added.entry)}/v1/status`)) as {
       daemons: ReadonlyArray<{ report: { revisions: Record<string, number> } }>;
     };
--- a/entry/admission.ts
+++ b/entry/admission.ts
@@ -15,7 +15,7 @@
   type TicketPosition,
 } from "../tickets/mod.js";
 import { decideAdmission } from "./admission_decision.js";
-import { refusalAnswer, unknownOutcome } from "./answers.js";
+import { refusalAnswer, unknownAnswer } from "./answers.js";
 import type { EntryEffect, EntryEvent } from "./entry_messages.js";
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
 import { findIdenticalQuery, withJoinKey } from "./identical_queries.js";
@@ -65,7 +65,7 @@
     step<EntryState, EntryEffect>(state, {
       kind: "answer",
       queryId,
-      answer: unknownOutcome(state, nowMs, decision.message),
+      answer: unknownAnswer(state, nowMs, decision.message),
     }),
 };
 
@@ -114,7 +114,7 @@
   const message = "Cannot tell whether the query ran: the entry that gave the ticket is gone";
   return step<EntryState, EntryEffect>(
     state,
-    { kind: "answer", queryId, answer: unknownOutcome(state, nowMs, message) },
+    { kind: "answer", queryId, answer: unknownAnswer(state, nowMs, message) },
     logWarn("ticket", `outcome of ${queryId} is unknown`, { incarnation }),
   );
 }
--- a/entry/answers.ts
+++ b/entry/answers.ts
@@ -36,7 +36,7 @@
  * @param message - Why the outcome is unknown.
  * @returns The answer.
  */
-export function unknownOutcome(state: EntryState, nowMs: number, message: string): QueryAnswer {
+export function unknownAnswer(state: EntryState, nowMs: number, message: string): QueryAnswer {
   const plain = { statusCode: 504, message, retryAfterMs: 0, revision: 0 };
   return { ...plainAnswer(state, nowMs, plain), outcome: "unknown", notRun: false };
 }
--- a/entry/entry_shell.ts
+++ b/entry/entry_shell.ts
@@ -9,9 +9,9 @@
   type CoreRunner,
   controlShell,
   coreTimers,
+  createSelfMember,
   DAEMON_SPECS,
   type EffectHandlers,
-  makeSelf,
   nowMs,
   PendingReplies,
   parseSeeds,
@@ -21,12 +21,12 @@
 } from "../daemon/mod.js";
 import { lifecyclePhase } from "../lifecycle/mod.js";
 import { MAX_BODY_BYTES, parseQueryRequest, type QueryAnswer } from "../model/mod.js";
-import { listenForPeers, PEER_ANSWER_MS } from "../peer/mod.js";
+import { listenForPeers, PEER_TIMEOUT_MS } from "../peer/mod.js";
 import { createPlatformClient } from "../platform/mod.js";
 import type { SettingSpecs, Settings } from "../settings/mod.js";
 import { startTelemetry } from "../telemetry/mod.js";
 import { forwardQuery, isForwarded, type WaitingCaller } from "./_forwarding.js";
-import { unknownOutcome } from "./answers.js";
+import { unknownAnswer } from "./answers.js";
 import { entryLogic, listedEntries } from "./entry_core.js";
 import type { EntryEffect, EntryEvent, EntryTimer } from "./entry_messages.js";
 import type { EntryState } from "./entry_state.js";
@@ -184,7 +184,7 @@
   };
   const server = apiServer(handlers);
   const callerPort = await listen(server, settings);
-  const self = makeSelf(settings, { role: "entry", peerPort: peers.port, callerPort });
+  const self = createSelfMember(settings, { role: "entry", peerPort: peers.port, callerPort });
   const links = new PoolLinks({ entryId: self.incarnation, send, nowMs });
   const timers = coreTimers<EntryTimer, EntryEvent>(send, nowMs);
 
@@ -215,7 +215,7 @@
       writeJson(caller.response, body, { statusCode, headers: connectionHeaders() });
     } catch {
       const message = "Cannot tell whether the query ran: the entry that gave the ticket is silent";
-      sendAnswer(queryId, unknownOutcome(state(), nowMs(), message));
+      sendAnswer(queryId, unknownAnswer(state(), nowMs(), message));
     }
   }
 
@@ -226,7 +226,7 @@
       const { rpc } = control.client(lender);
       const reply = await rpc.borrow(
         { service, tokens, borrowerId: self.memberId },
-        { timeoutMs: PEER_ANSWER_MS },
+        { timeoutMs: PEER_TIMEOUT_MS },
       );
       lent = Number.isFinite(reply.tokens) ? Math.max(0, reply.tokens) : 0;
     } catch {
@@ -240,13 +240,13 @@
     setTimer: ({ timer, delayMs }) => timers.set(timer, delayMs),
     clearTimer: ({ timer }) => timers.clear(timer),
     answer: ({ queryId, answer }) => sendAnswer(queryId, answer),
-    giveTicket: ({ requestId, ticket }) => tickets.give(Number(requestId), ticket),
+    giveTicket: ({ requestId, ticket }) => tickets.resolve(Number(requestId), ticket),
     forward: (effect) => void forward(effect),
     sendCall: ({ poolId, call }) => links.sendCall(poolId, call),
     cancelCall: ({ poolId, callId }) => links.cancelCall(poolId, callId),
     openPools: ({ pools }) => links.setPools(pools),
     borrow: (effect) => void borrow(effect),
-    replyBorrow: ({ requestId, tokens }) => loans.give(requestId, tokens),
+    replyBorrow: ({ requestId, tokens }) => loans.resolve(requestId, tokens),
   };
 
   function end(): void {
--- a/entry/finish_query.ts
+++ b/entry/finish_query.ts
@@ -22,7 +22,7 @@
   summariseGroup,
 } from "../query/mod.js";
 import { recordFinished } from "../tickets/mod.js";
-import { summaryAnswer, unknownOutcome } from "./answers.js";
+import { summaryAnswer, unknownAnswer } from "./answers.js";
 import type { EntryEffect } from "./entry_messages.js";
 import type { EntryState, EntryStep, Query } from "./entry_state.js";
 import { removeFetch } from "./fetches.js";
@@ -223,7 +223,7 @@
   const message = "Cannot tell whether the query ran: it is still running";
   return step<EntryState, EntryEffect>(
     { ...state, queries: state.queries.set(running.queryId, remaining) },
-    { kind: "answer", queryId, answer: unknownOutcome(state, nowMs, message) },
+    { kind: "answer", queryId, answer: unknownAnswer(state, nowMs, message) },
   );
 }
 
--- a/entry/operator_api.ts
+++ b/entry/operator_api.ts
@@ -10,7 +10,7 @@
 import type { ControlState } from "../control/mod.js";
 import type { ControlShell } from "../daemon/mod.js";
 import { type CatalogObject, MAX_BODY_BYTES, type Member } from "../model/mod.js";
-import { PEER_ANSWER_MS } from "../peer/mod.js";
+import { PEER_TIMEOUT_MS } from "../peer/mod.js";
 import type { PlatformPort } from "../platform/mod.js";
 import { compilePolicies, evaluatePolicies, SAMPLE_INPUT } from "../policy/mod.js";
 import { checkValue } from "./_check_value.js";
@@ -204,7 +204,7 @@
     members.map(async (member) => {
       try {
         const { rpc } = options.control.client(member);
-        const { reportJson } = await rpc.report({}, { timeoutMs: PEER_ANSWER_MS });
+        const { reportJson } = await rpc.report({}, { timeoutMs: PEER_TIMEOUT_MS });
         return { memberId: member.memberId, reached: true, report: JSON.parse(reportJson) };
       } catch {
         return { memberId: member.memberId, reached: false, state: member.state };
@@ -229,7 +229,7 @@
   const notified = await Promise.all(
     others.map(async (member) => {
       try {
-        await options.control.client(member).rpc.drain({}, { timeoutMs: PEER_ANSWER_MS });
+        await options.control.client(member).rpc.drain({}, { timeoutMs: PEER_TIMEOUT_MS });
         return [member.memberId];
       } catch {
         return [];
--- a/fault_soak/fault_handlers.ts
+++ b/fault_soak/fault_handlers.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { MALFORMED_ENTRIES } from "../platform/standin/mod.js";
-import { pause } from "../standins/waiting.js";
+import { delay } from "../standins/waiting.js";
 import type { FaultKind, PlannedFault } from "./fault_plan.js";
 import {
   CRASHING_PATH_PART,
@@ -63,33 +63,33 @@
 export const FAULT_HANDLERS: Readonly<Record<FaultKind, FaultHandler>> = {
   leafDelayed: onLeaf(async ({ link }, forMs) => {
     link.injectFault({ delayMs: DELAY_MS.link });
-    await pause(forMs);
+    await delay(forMs);
     link.clearFaults();
   }),
   leafReset: onLeaf(async ({ link }, forMs) => {
     link.reset();
-    await pause(forMs / 2);
+    await delay(forMs / 2);
     link.reset();
   }),
   leafCutOneWay: onLeaf(async ({ link }, forMs) => {
     link.injectFault({ blocksResponses: true });
-    await pause(forMs);
+    await delay(forMs);
     link.clearFaults();
   }),
   leafSilent: onLeaf(async ({ link }, forMs) => {
     link.injectFault({ blocksResponses: true, blocksRequests: true });
-    await pause(forMs);
+    await delay(forMs);
     link.clearFaults();
   }),
   leafConnectionsSilent: onLeaf(async ({ link }) => link.stallOpenConnections()),
   leafFull: onLeaf(async ({ leaf }, forMs) => {
     leaf.configure({ full: true });
-    await pause(forMs);
+    await delay(forMs);
     leaf.configure({ full: false });
   }),
   leafFails: onLeaf(async ({ leaf }, forMs) => {
     leaf.configure({ statusCode: 500 });
-    await pause(forMs);
+    await delay(forMs);
     leaf.configure({ statusCode: 200 });
   }),
   leafReplaced: async (soak, { target }) => {
@@ -103,7 +103,7 @@
     await soak.addLeaf(replaced.service, replaced.dataCentre);
     replaced.drainingSinceMs = performance.now();
     replaced.leaf.drain();
-    await pause(DRAIN_MS);
+    await delay(DRAIN_MS);
     soak.leafs.splice(soak.leafs.indexOf(replaced), 1);
     return true;
   },
@@ -118,7 +118,7 @@
     soak.leafs.splice(soak.leafs.indexOf(replaced), 1);
     replaced.hasEnded = true;
     replaced.leaf.crash();
-    await pause(forMs / 4);
+    await delay(forMs / 4);
     await soak.addLeaf(replaced.service, replaced.dataCentre, { leafId: replaced.leaf.leafId });
     return true;
   },
@@ -126,7 +126,7 @@
     for (const [index, spec] of MALFORMED_ENTRIES.entries()) {
       fleet.platform.put("servers", `strange-${target}-${index}`, spec);
     }
-    await pause(forMs);
+    await delay(forMs);
     for (const index of MALFORMED_ENTRIES.keys()) {
       fleet.platform.remove("servers", `strange-${target}-${index}`);
     }
@@ -139,7 +139,7 @@
         const requestId = `crashing-${target}-${round}-${index}`;
         await fleet.sendRequest(box, { path, requestId, host: HOST }).catch(() => undefined);
       }
-      await pause(forMs);
+      await delay(forMs);
     }
     return true;
   },
@@ -147,7 +147,7 @@
   storeDown: onStore("down"),
   storeSlow: async ({ fleet }, { forMs }) => {
     fleet.platform.setFaults({ delayMs: DELAY_MS.store });
-    await pause(forMs);
+    await delay(forMs);
     fleet.platform.setFaults({ delayMs: 0 });
     return true;
   },
@@ -158,12 +158,12 @@
   storeOlder: async (soak, { forMs }) => {
     const { platform } = soak.fleet;
     const copiedRevision = platform.revision();
-    await pause(forMs);
+    await delay(forMs);
     platform.setFaults({ mode: "down" });
     platform.restore(copiedRevision);
-    await pause(RESTORE_DOWNTIME_MS);
+    await delay(RESTORE_DOWNTIME_MS);
     platform.setFaults({ mode: "up" });
-    await pause(REWRITE_DELAY_MS);
+    await delay(REWRITE_DELAY_MS);
     soak.rewriteEntries();
     return true;
   },
@@ -176,14 +176,14 @@
       return false;
     }
     const evacuation = soak.evacuate(dataCentre);
-    await pause(MIN_EVACUATION_MS + forMs);
+    await delay(MIN_EVACUATION_MS + forMs);
     soak.endEvacuation(evacuation);
     return true;
   },
   boxCutFromStore: async ({ boxes }, { target, forMs }) => {
     const chosen = pick(boxes, target);
     chosen?.storeLink.injectFault({ blocksResponses: true, blocksRequests: true });
-    await pause(forMs);
+    await delay(forMs);
     chosen?.storeLink.clearFaults();
     chosen?.storeLink.reset();
     return chosen !== undefined;
@@ -203,12 +203,12 @@
   },
   boxPaused: onBox(async ({ box }, forMs) => {
     box.process.signal("SIGSTOP");
-    await pause(forMs);
+    await delay(forMs);
     box.process.signal("SIGCONT");
   }),
   boxKilled: onBox(async (chosen, forMs, { fleet }) => {
     chosen.box.process.signal("SIGKILL");
-    await pause(forMs / 4);
+    await delay(forMs / 4);
     await fleet.restart(chosen.box);
     chosen.incarnation += 1;
   }),
@@ -245,7 +245,7 @@
 function onStore(mode: "silent" | "down"): FaultHandler {
   return async (soak, { forMs }) => {
     soak.fleet.platform.setFaults({ mode });
-    await pause(forMs);
+    await delay(forMs);
     soak.fleet.platform.setFaults({ mode: "up" });
     soak.changeConfiguration();
     return true;
--- a/fault_soak/link_proxy_test.ts
+++ b/fault_soak/link_proxy_test.ts
@@ -1,6 +1,6 @@
 import { connect, createServer, type Socket } from "node:net";
 import t from "tap";
-import { until } from "../standins/waiting.js";
+import { waitUntil } from "../standins/waiting.js";
 import { LinkProxy, resetConnection } from "./link_proxy.js";
 
 const LOOPBACK = "127.0.0.1";
@@ -80,13 +80,13 @@
   const received: Array<string> = [];
   stalled.on("data", (data) => received.push(`stalled ${data}`));
   stalled.write("a");
-  await until(async () => received.length === 1, "the first connection is answered");
+  await waitUntil(async () => received.length === 1, "the first connection is answered");
   link.stallOpenConnections();
   stalled.write("b");
   const fresh = await opened(port);
   fresh.on("data", (data) => received.push(`new ${data}`));
   fresh.write("c");
-  await until(async () => received.length === 2, "the new connection is answered");
+  await waitUntil(async () => received.length === 2, "the new connection is answered");
   t.same(received, ["stalled a", "new c"]);
   t.notOk(stalled.destroyed, "the stalled connection stays open");
   stalled.destroy();
--- a/fault_soak/run_fault_soak.ts
+++ b/fault_soak/run_fault_soak.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { pause, until } from "../standins/waiting.js";
+import { delay, waitUntil } from "../standins/waiting.js";
 import type { Disturbance } from "./disturbance.js";
 import { DISTURBING_KINDS, FAULT_HANDLERS } from "./fault_handlers.js";
 import { type FaultPlanOptions, faultPlan, type PlannedFault } from "./fault_plan.js";
@@ -69,7 +69,7 @@
     const startedAtMs = performance.now();
     const faults = faultPlan(this.#options).map((fault) => this.#inject(fault, startedAtMs));
     await Promise.all(faults);
-    await pause(RECOVERY_WAIT_MS);
+    await delay(RECOVERY_WAIT_MS);
     await this.#checkRecovery();
     this.#callers.stop();
     await calling;
@@ -80,7 +80,7 @@
   }
 
   async #inject(fault: PlannedFault, startedAtMs: number): Promise<void> {
-    await pause(startedAtMs + fault.atMs - performance.now());
+    await delay(startedAtMs + fault.atMs - performance.now());
     const fromMs = performance.now();
     const wasApplicable = await FAULT_HANDLERS[fault.kind](this.#soak, fault);
     if (!wasApplicable) {
@@ -96,7 +96,7 @@
   async #checkRecovery(): Promise<void> {
     for (const box of this.#soak.boxes) {
       for (const path of ["/sweep/", `/version-${this.#soak.version}/`]) {
-        await until(
+        await waitUntil(
           async () => (await this.#callers.sendRequest(box, path)) === 200,
           `${path} is served`,
         ).catch(() =>
--- a/fault_soak/soak_callers.ts
+++ b/fault_soak/soak_callers.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import prand from "pure-rand";
-import { pause } from "../standins/waiting.js";
+import { delay } from "../standins/waiting.js";
 import type { InvariantChecker } from "./invariant_checker.js";
 import { HOST, LEDGER, REGIONAL_ROUTE, type SoakBox, type SoakFleet } from "./soak_fleet.js";
 
@@ -94,9 +94,9 @@
         if (status === undefined) {
           break;
         }
-        await pause(REQUEST_INTERVAL_MS);
+        await delay(REQUEST_INTERVAL_MS);
       }
-      await pause(REQUEST_INTERVAL_MS);
+      await delay(REQUEST_INTERVAL_MS);
     }
   }
 
--- a/fault_soak/store_change_test.ts
+++ b/fault_soak/store_change_test.ts
@@ -5,7 +5,7 @@
 import { PlatformWatch } from "../daemon/platform_watch.js";
 import { createPlatformClient } from "../platform/mod.js";
 import { BoxFleet, type PlatformBox, startPlatformStandin } from "../platform/standin/mod.js";
-import { pause, until } from "../standins/waiting.js";
+import { delay, waitUntil } from "../standins/waiting.js";
 import { LinkProxy } from "./link_proxy.js";
 
 /** Time within which the boxes must apply a change, in milliseconds. */
@@ -55,15 +55,15 @@
   const isStoreUnreachable = (box: PlatformBox): boolean => {
     return box.process.logTail.some((line) => /"kind":"config".*"store: unreachable"/.test(line));
   };
-  await until(
+  await waitUntil(
     async () => fleet.boxes.every(isStoreUnreachable),
     "the store is unreachable for all boxes",
   );
   // Waits until the boxes have started their next watch.
-  await pause(150);
+  await delay(150);
   fleet.platform.setFaults({ mode: "up" });
   fleet.configure(configuration(2));
-  await pause(CHANGE_DEADLINE_MS);
+  await delay(CHANGE_DEADLINE_MS);
   for (const box of fleet.boxes) {
     t.ok(await hasRoute(fleet, box, 2), `${box.name} has the new route`);
   }
@@ -77,12 +77,12 @@
   const box = await fleet.addBox("hall-a", await link.open());
   await fleet.waitUntilReady();
   fleet.configure(configuration(2));
-  await until(() => hasRoute(fleet, box, 2), "the box has the first change");
+  await waitUntil(() => hasRoute(fleet, box, 2), "the box has the first change");
   // Waits until the box watches again after the change.
-  await pause(700);
+  await delay(700);
   link.stallOpenConnections();
   fleet.configure(configuration(3));
-  await pause(CHANGE_DEADLINE_MS);
+  await delay(CHANGE_DEADLINE_MS);
   t.ok(await hasRoute(fleet, box, 3), "the box has the new route");
 });
 
@@ -104,13 +104,13 @@
   });
   platform.setBoxes([]);
   watch.enable(true);
-  await until(async () => version > 0, "the box list is known");
+  await waitUntil(async () => version > 0, "the box list is known");
   // Waits until a watch is open and the connection of the previous request is idle.
-  await pause(200);
+  await delay(200);
   link.stallOpenConnections();
   const changedAtMs = performance.now();
   const before = version;
   platform.setBoxes([BOX]);
-  await until(async () => version > before, "the change is known");
+  await waitUntil(async () => version > before, "the change is known");
   t.ok(performance.now() - changedAtMs < 4_000);
 });
--- a/fleet/fleet_messages_fuzz_test.ts
+++ b/fleet/fleet_messages_fuzz_test.ts
@@ -1,7 +1,7 @@
 import { deflateRawSync } from "node:zlib";
 import fc from "fast-check";
 import t from "tap";
-import { spoiltValue } from "../standins/spoilt_value.js";
+import { corruptedValue } from "../standins/corrupted_value.js";
 import { decodeFleetMessage, type FleetMessage } from "./fleet_messages.js";
 
 const MEMBER = [
@@ -19,7 +19,7 @@
 const CRASHES = ["f_1", "suspected", 2, 0, 100, 50];
 const MESSAGE = ["ask", 7, 12, 345, [MEMBER], [CRASHES]];
 
-const CORRUPTED_MESSAGES = spoiltValue(MESSAGE, 40);
+const CORRUPTED_MESSAGES = corruptedValue(MESSAGE, 40);
 
 function isValid({ crashes, members, number, progress }: FleetMessage): boolean {
   const numbers = [number, progress.configurationVersion, progress.leafsRevision];
--- a/model/schema_test.ts
+++ b/model/schema_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import t from "tap";
-import { readLeafAnswer } from "../backend/mod.js";
+import { parseLeafAnswer } from "../backend/mod.js";
 import { decodeObjects } from "../peer/mod.js";
 import {
   parseBoxList,
@@ -53,29 +53,32 @@
   t.pass();
 });
 
-t.test("decodeObjects() and readLeafAnswer() accept arbitrary text without throwing", async (t) => {
-  fc.assert(
-    fc.property(fc.string(), fc.integer(), fc.json(), (text, statusCode, json) => {
-      const answers = [text, json].map((each) =>
-        readLeafAnswer({ statusCode, headers: { "leaf-row-count": each }, text: each }),
-      );
-      decodeObjects([text, json]);
-      return answers.every((answer) => answer.kind !== "answered");
-    }),
-    { numRuns: 5_000, seed: 4 },
-  );
-  t.pass();
-});
+t.test(
+  "decodeObjects() and parseLeafAnswer() accept arbitrary text without throwing",
+  async (t) => {
+    fc.assert(
+      fc.property(fc.string(), fc.integer(), fc.json(), (text, statusCode, json) => {
+        const answers = [text, json].map((each) =>
+          parseLeafAnswer({ statusCode, headers: { "leaf-row-count": each }, text: each }),
+        );
+        decodeObjects([text, json]);
+        return answers.every((answer) => answer.kind !== "answered");
+      }),
+      { numRuns: 5_000, seed: 4 },
+    );
+    t.pass();
+  },
+);
 
 t.test(
-  "readLeafAnswer() reports a refusal only if the leaf states that the call has not run",
+  "parseLeafAnswer() reports a refusal only if the leaf states that the call has not run",
   async (t) => {
     const refusal = JSON.stringify({ reason: "overloaded", notRun: true, retryAfterMs: 3 });
     const withoutNotRun = JSON.stringify({ reason: "overloaded" });
-    t.match(readLeafAnswer({ statusCode: 503, headers: {}, text: refusal }), { kind: "refused" });
-    t.match(readLeafAnswer({ statusCode: 503, headers: {}, text: withoutNotRun }), {
+    t.match(parseLeafAnswer({ statusCode: 503, headers: {}, text: refusal }), { kind: "refused" });
+    t.match(parseLeafAnswer({ statusCode: 503, headers: {}, text: withoutNotRun }), {
       kind: "failed",
     });
-    t.match(readLeafAnswer({ statusCode: 500, headers: {}, text: refusal }), { kind: "failed" });
+    t.match(parseLeafAnswer({ statusCode: 500, headers: {}, text: refusal }), { kind: "failed" });
   },
 );
--- a/peer/peer_client.ts
+++ b/peer/peer_client.ts
@@ -10,7 +10,7 @@
 import { PeerService } from "./gen/rackvale/peer/v1/peer_pb.js";
 
 /** Timeout for the answer of another daemon, in milliseconds. */
-export const PEER_ANSWER_MS = 1_000;
+export const PEER_TIMEOUT_MS = 1_000;
 
 /** Time after which an idle connection is closed, in milliseconds. */
 const IDLE_TIMEOUT_MS = 30_000;
--- a/pool/pool_shell.ts
+++ b/pool/pool_shell.ts
@@ -9,9 +9,9 @@
   type CoreRunner,
   controlShell,
   coreTimers,
+  createSelfMember,
   type DaemonSettings,
   type EffectHandlers,
-  makeSelf,
   nowMs,
   parseSeeds,
   reportDaemon,
@@ -140,7 +140,7 @@
     { ...control.service, calls: serveCalls },
     { address: settings.address, port: settings["peer-port"] },
   );
-  const self = makeSelf(settings, { role: "pool", peerPort: server.port, callerPort: 0 });
+  const self = createSelfMember(settings, { role: "pool", peerPort: server.port, callerPort: 0 });
   const leafs = leafClient({ incarnation: self.incarnation });
   const timers = coreTimers<{ readonly kind: string }, PoolEvent>(send, nowMs);
 
--- a/relay/relay_calls_test.ts
+++ b/relay/relay_calls_test.ts
@@ -4,7 +4,7 @@
 import type { Member } from "../model/mod.js";
 import type { RelayedParts } from "../request/mod.js";
 import { sampleMember } from "../standins/sample_member.js";
-import { until } from "../standins/waiting.js";
+import { waitUntil } from "../standins/waiting.js";
 import { RelayCalls } from "./relay_calls.js";
 import { encodeRelayFrame } from "./relay_frames.js";
 import type { MergedRelayRequest } from "./relay_request.js";
@@ -77,7 +77,7 @@
   // The connection is released only after the response has been processed.
   await new Promise((resolve) => setImmediate(resolve));
   const failed = send(relays, member);
-  await until(async () => countUnanswered() === 1, "the request has reached the box");
+  await waitUntil(async () => countUnanswered() === 1, "the request has reached the box");
   nowMs += LONG_MS;
   t.equal(relays.choose([member]), undefined, "an unresponsive box is not selected");
   relays.abortOverdue();
--- a/relay/relay_fuzz_test.ts
+++ b/relay/relay_fuzz_test.ts
@@ -1,7 +1,7 @@
 import { deflateRawSync } from "node:zlib";
 import fc from "fast-check";
 import t from "tap";
-import { spoiltValue } from "../standins/spoilt_value.js";
+import { corruptedValue } from "../standins/corrupted_value.js";
 import { RelayFrameReader } from "./relay_frames.js";
 import { decodeRelayRequest, encodeRelayRequest, type RelayRequest } from "./relay_request.js";
 
@@ -9,7 +9,7 @@
 const MERGED = ["merged", ...REQUEST, ["s1", "s2"], 40];
 const SEPARATE = ["separate", ...REQUEST, ["s1", "s2"], ["l1", "l2"], "AAAA"];
 
-const SPOILT = fc.oneof(spoiltValue(MERGED, 16), spoiltValue(SEPARATE, 16));
+const SPOILT = fc.oneof(corruptedValue(MERGED, 16), corruptedValue(SEPARATE, 16));
 
 function areStrings(values: ReadonlyArray<unknown>): boolean {
   return values.every((value) => typeof value === "string");
--- a/soak/soak_entries.ts
+++ b/soak/soak_entries.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { unknownOutcome } from "../entry/answers.js";
+import { unknownAnswer } from "../entry/answers.js";
 import type { EntryEffect } from "../entry/mod.js";
 import { ANSWER_MARGIN_MS, type QueryAnswer, type QueryRequest } from "../model/mod.js";
 import type { SimulationView } from "./simulation_view.js";
@@ -165,7 +165,7 @@
     schedule.after(request.deadlineMs - ANSWER_MARGIN_MS, () => {
       if (node.isAlive) {
         const message = "Cannot tell whether the query ran: no response";
-        this.#settle(key, unknownOutcome(node.state, node.nowMs, message));
+        this.#settle(key, unknownAnswer(node.state, node.nowMs, message));
       }
     });
     network.send(node.self.box, effect.member.box, () =>
--- a/standins/spoilt_value.ts
+++ b/standins/corrupted_value.ts
@@ -15,7 +15,7 @@
  * @param maxPosition - Highest position to replace, counted depth-first; position 0 is `data` itself.
  * @returns Arbitrary of the changed data.
  */
-export function spoiltValue(data: unknown, maxPosition: number): fc.Arbitrary<unknown> {
+export function corruptedValue(data: unknown, maxPosition: number): fc.Arbitrary<unknown> {
   return fc
     .tuple(fc.integer({ min: 0, max: maxPosition }), fc.jsonValue({ maxDepth: MAX_DEPTH }))
     .map(([position, value]) => replaceValue(data, { remaining: position, value }));
--- a/standins/fleet.ts
+++ b/standins/fleet.ts
@@ -10,7 +10,7 @@
 import type { LeafStandinOptions } from "./leaf_standin.js";
 import { type FleetProcess, startProcess } from "./processes.js";
 import { type ServiceShape, sampleConfig, sampleLeafs, sampleShardMap } from "./sample_services.js";
-import { until } from "./waiting.js";
+import { waitUntil } from "./waiting.js";
 
 export { LOOPBACK } from "./_daemon_args.js";
 
@@ -72,7 +72,7 @@
       fleet.boxes.push(await fleet.#startBox(`box-${index + 1}`, dataCentre));
     }
     await fleet.#publishBoxes();
-    await fleet.ready();
+    await fleet.waitUntilReady();
     return fleet;
   }
 
@@ -115,7 +115,7 @@
     const backendBoxes = this.#backendBoxes.map(({ box, dataCentre }) => {
       return { box, dataCentre, address: LOOPBACK, leaving: this.#leaving.has(box) };
     });
-    await this.steer(this.platform, "/admin/boxes", [...rackvaleBoxes, ...backendBoxes]);
+    await this.callAdmin(this.platform, "/admin/boxes", [...rackvaleBoxes, ...backendBoxes]);
   }
 
   /**
@@ -123,14 +123,14 @@
    *
    * @param box - Name of the box.
    */
-  async listLeaving(box: string): Promise<void> {
+  async markLeaving(box: string): Promise<void> {
     this.#leaving.add(box);
     await this.#publishBoxes();
   }
 
   /** Waits until every entry is ready and has a stream to every pool. */
-  async ready(): Promise<void> {
-    await until(async () => {
+  async waitUntilReady(): Promise<void> {
+    await waitUntil(async () => {
       const statuses = await Promise.all(
         this.boxes.map((box) => getJson(`${urlOf(box.entry)}/v1/status`)),
       );
@@ -172,7 +172,7 @@
     await this.#publishBoxes();
     await this.submit("services", shape.service, config);
     await this.submit("shardmaps", shape.service, shardMap);
-    await this.inForce(`shardmap/${shape.service}`, 1);
+    await this.waitUntilActive(`shardmap/${shape.service}`, 1);
     return { config, shardMap };
   }
 
@@ -188,7 +188,7 @@
     const started = await Promise.all(
       this.backends.map((backend, index) => {
         const assigned = leafs.filter((_, leaf) => leaf % this.backends.length === index);
-        return this.steer(backend, "/admin/leafs", assigned);
+        return this.callAdmin(backend, "/admin/leafs", assigned);
       }),
     );
     return Object.assign({}, ...started) as Readonly<Record<string, number>>;
@@ -216,8 +216,8 @@
    * @param key - Key of the object.
    * @param revision - Lowest accepted revision.
    */
-  async inForce(key: string, revision: number): Promise<void> {
-    await until(async () => {
+  async waitUntilActive(key: string, revision: number): Promise<void> {
+    await waitUntil(async () => {
       const status = (await getJson(`${urlOf(this.boxes[0]?.entry)}/v1/status`)) as {
         readonly daemons: ReadonlyArray<{
           readonly reached: boolean;
@@ -238,7 +238,7 @@
    */
   async changeLeafs(prefix: string, options: Partial<LeafStandinOptions>): Promise<void> {
     await Promise.all(
-      this.backends.map((backend) => this.steer(backend, "/admin/change", { prefix, options })),
+      this.backends.map((backend) => this.callAdmin(backend, "/admin/change", { prefix, options })),
     );
   }
 
@@ -248,7 +248,7 @@
    * @param faults - Faults to change.
    */
   async setPlatformFaults(faults: Partial<PlatformFaults>): Promise<void> {
-    await this.steer(this.platform, "/admin/faults", faults);
+    await this.callAdmin(this.platform, "/admin/faults", faults);
   }
 
   /**
@@ -257,8 +257,8 @@
    * @param path - Path of the admin API.
    * @returns Response bodies, one for each backend process.
    */
-  async askBackends(path: string): Promise<ReadonlyArray<unknown>> {
-    return Promise.all(this.backends.map((backend) => this.steer(backend, path, {})));
+  async queryBackends(path: string): Promise<ReadonlyArray<unknown>> {
+    return Promise.all(this.backends.map((backend) => this.callAdmin(backend, path, {})));
   }
 
   /**
@@ -269,7 +269,7 @@
    * @param body - Request body.
    * @returns Body of the response.
    */
-  async steer(standin: FleetProcess, path: string, body: unknown): Promise<unknown> {
+  async callAdmin(standin: FleetProcess, path: string, body: unknown): Promise<unknown> {
     const response = await postJson(`http://${LOOPBACK}:${standin.ports.port}${path}`, body);
     return response.body;
   }
@@ -284,7 +284,7 @@
     for (const each of all) {
       each.signal("SIGKILL");
     }
-    await Promise.all(all.map((each) => each.ended));
+    await Promise.all(all.map((each) => each.exited));
   }
 }
 
--- a/standins/json_http.ts
+++ b/standins/json_http.ts
@@ -6,13 +6,13 @@
 import { request } from "undici";
 
 /** Status, headers and parsed body of a response. */
-export interface JsonAnswer {
+export interface JsonResponse {
   readonly statusCode: number;
   readonly headers: Readonly<Record<string, unknown>>;
   readonly body: unknown;
 }
 
-async function sendJson(method: "POST" | "PUT", url: string, body: unknown): Promise<JsonAnswer> {
+async function sendJson(method: "POST" | "PUT", url: string, body: unknown): Promise<JsonResponse> {
   const response = await request(url, {
     method,
     headers: { "content-type": "application/json" },
@@ -33,7 +33,7 @@
  * @param body - Value to serialize.
  * @returns The response.
  */
-export function postJson(url: string, body: unknown): Promise<JsonAnswer> {
+export function postJson(url: string, body: unknown): Promise<JsonResponse> {
   return sendJson("POST", url, body);
 }
 
@@ -44,7 +44,7 @@
  * @param body - Value to serialize.
  * @returns The response.
  */
-export function putJson(url: string, body: unknown): Promise<JsonAnswer> {
+export function putJson(url: string, body: unknown): Promise<JsonResponse> {
   return sendJson("PUT", url, body);
 }
 
--- a/standins/processes.ts
+++ b/standins/processes.ts
@@ -16,7 +16,7 @@
   readonly ports: Readonly<Record<string, number>>;
   signal(signal: NodeJS.Signals): void;
   /** Resolves with the exit code when the process exits; -1 if it was terminated by a signal. */
-  readonly ended: Promise<number>;
+  readonly exited: Promise<number>;
   /** Last lines of the output of the process. */
   readonly logTail: ReadonlyArray<string>;
 }
@@ -57,7 +57,7 @@
     pid: child.pid ?? 0,
     ports,
     signal: (signal) => void child.kill(signal),
-    ended,
+    exited: ended,
     logTail,
   };
 }
--- a/standins/waiting.ts
+++ b/standins/waiting.ts
@@ -13,13 +13,13 @@
  * @param description - Description of the condition, for the error message.
  * @throws {Error} If the condition is not met within 30 seconds.
  */
-export async function until(isMet: () => Promise<boolean>, description: string): Promise<void> {
+export async function waitUntil(isMet: () => Promise<boolean>, description: string): Promise<void> {
   const deadlineAtMs = performance.now() + TIMEOUT_MS;
   while (performance.now() < deadlineAtMs) {
     if (await isMet().catch(() => false)) {
       return;
     }
-    await pause(CHECK_INTERVAL_MS);
+    await delay(CHECK_INTERVAL_MS);
   }
   throw new Error(`Timed out waiting until ${description}`);
 }
@@ -29,6 +29,6 @@
  *
  * @param delayMs - Delay in milliseconds.
  */
-export function pause(delayMs: number): Promise<void> {
+export function delay(delayMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, delayMs));
 }
--- a/telemetry/box_telemetry_test.ts
+++ b/telemetry/box_telemetry_test.ts
@@ -5,7 +5,7 @@
 import { join } from "node:path";
 import { createInterface } from "node:readline";
 import t from "tap";
-import { until } from "../standins/waiting.js";
+import { waitUntil } from "../standins/waiting.js";
 import { createBoxTelemetry, MAX_REQUEST_LINES_PER_SECOND } from "./box_telemetry.js";
 
 /** Creates a pipe that is not read until `read()` is called. */
@@ -51,7 +51,7 @@
   t.equal(first.length, 11);
   // Drains the pipe so that no write is pending when the test ends.
   input.resume();
-  await until(() => telemetry.flush(), "all lines are written");
+  await waitUntil(() => telemetry.flush(), "all lines are written");
   input.destroy();
 });
 
