--- a/admission/queue_allowance_test.ts
+++ b/admission/queue_allowance_test.ts
@@ -15,13 +15,16 @@
   t.equal(doubledObjective.get("sweep"), 2 * allowedMs);
 });
 
-t.test("queueAllowancesMs() allows a less urgent route less, whatever its objective", async (t) => {
-  const slow: QueuedRoute = { ...GATHER, name: "slow", aimMs: 2_000, priorityRank: 3 };
-  const allowances = queueAllowancesMs([slow, GATHER]);
-  const urgentMs = allowances.get("sweep") ?? 0;
-  const slowMs = allowances.get("slow") ?? 0;
-  t.ok(slowMs < urgentMs && slowMs > 0, `${slowMs} of ${urgentMs}`);
-});
+t.test(
+  "queueAllowancesMs() allows a less urgent route less, whatever its latency objective",
+  async (t) => {
+    const slow: QueuedRoute = { ...GATHER, name: "slow", aimMs: 2_000, priorityRank: 3 };
+    const allowances = queueAllowancesMs([slow, GATHER]);
+    const urgentMs = allowances.get("sweep") ?? 0;
+    const slowMs = allowances.get("slow") ?? 0;
+    t.ok(slowMs < urgentMs && slowMs > 0, `${slowMs} of ${urgentMs}`);
+  },
+);
 
 t.test("queueAllowancesMs() treats routes over different shards independently", async (t) => {
   const shards = ["t1"];
--- a/box/_make_fleet_link.ts
+++ b/box/_make_fleet_link.ts
@@ -1,6 +1,6 @@
 /**
- * Creates a box's link to the other boxes. State received from them is merged into the cluster state, and
- * membership changes update the fleet view.
+ * Creates a box's link to the other boxes. State received from them is merged into the cluster
+ * state, and membership changes update the fleet view.
  *
  * @module
  */
@@ -13,8 +13,8 @@
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
 /**
- * Maximum number of crash-inducing queries in one datagram, so that it is not fragmented. The remaining ones
- * follow in later datagrams.
+ * Maximum number of crash-inducing queries in one datagram, so that it is not fragmented. The
+ * remaining ones follow in later datagrams.
  */
 const MAX_QUERIES_PER_DATAGRAM = 8;
 
--- a/box/_make_quarantine.ts
+++ b/box/_make_quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Creates a box's quarantine. Each change is logged, withdraws waiting calls of the query and is sent to other
- * boxes.
+ * Creates a box's quarantine. Each change is logged, withdraws waiting calls of the query and is
+ * sent to other boxes.
  *
  * @module
  */
@@ -15,8 +15,8 @@
   readonly box: string;
   readonly nowMs: () => number;
   /**
-   * Returns the boxes that receive callers' requests. A standby box would never send a suspected query, so it
-   * could not clear it.
+   * Returns the boxes that receive callers' requests. A standby box would never send a suspected
+   * query, so it could not clear it.
    */
   readonly servingBoxes: () => ReadonlyArray<Member>;
   readonly calls: () => Pick<LeafCalls, "withdrawBlocked">;
@@ -68,8 +68,8 @@
 }
 
 /**
- * Time for which changes are batched before other boxes are notified, in milliseconds. When a rack fails, many
- * queries change at almost the same time.
+ * Time for which changes are batched before other boxes are notified, in milliseconds. When a rack
+ * fails, many queries change at almost the same time.
  */
 const BATCH_DELAY_MS = 10;
 
--- a/box/_relay_requests.ts
+++ b/box/_relay_requests.ts
@@ -1,5 +1,6 @@
 /**
- * Relays leaf calls of one request through other boxes and turns their responses into events of the request.
+ * Relays leaf calls of one request through other boxes and turns their responses into events of the
+ * request.
  *
  * @module
  */
@@ -37,9 +38,9 @@
   readonly onEnded: (attemptId: number) => void;
 }
 
-const MISSING_RESULT = failedPartOutcome("failed");
+const MISSING_PART = failedPartOutcome("failed");
 
-/** Result recorded for the call to a leaf, by the reason for which its shard's result is missing. */
+/** Result recorded for the call to a leaf, by the reason for which its shard's part is missing. */
 const FAILED_CALL_RESULTS = {
   declined: "full",
   refused: "full",
@@ -60,7 +61,7 @@
   }
 
   /**
-   * Requests the merged result of several shards from a box close to their leafs.
+   * Requests the merged parts of several shards from a box near their leafs.
    *
    * @param effect - The shards and the time for which the box may wait for them.
    */
@@ -86,14 +87,14 @@
         for (const record of recorders.values()) {
           record("failed");
         }
-        dispatch({ kind: "attemptEnded", attemptId, outcome: MISSING_RESULT });
+        dispatch({ kind: "attemptEnded", attemptId, outcome: MISSING_PART });
       },
     });
     onOpen(attemptId, open);
   }
 
   /**
-   * Requests the separate results of given leafs through a box.
+   * Requests the separate parts of given leafs through a box.
    *
    * @param effect - The leafs and the top-k threshold of records to return.
    */
@@ -136,7 +137,7 @@
           record("failed");
         }
         for (const service of [...pending.keys()]) {
-          end(service, MISSING_RESULT);
+          end(service, MISSING_PART);
         }
       },
     });
--- a/box/_run_context.ts
+++ b/box/_run_context.ts
@@ -1,5 +1,6 @@
 /**
- * The state of the box that the decisions of one request read: leafs, boxes, quarantine and extra calls.
+ * The state of the box that the decisions of one request read: leafs, boxes, quarantine and extra
+ * calls.
  *
  * @module
  */
@@ -46,7 +47,10 @@
   readonly #isCold: (leafId: string) => boolean;
   /** Reasons found in the current selection why leafs may not be called. */
   #blockReasons: ReadonlyArray<BlockReason> = [];
-  /** Queue time at the leafs of each place, in milliseconds, cached on first use so that it stays constant. */
+  /**
+   * Queueing delay at the leafs of each place, in milliseconds, cached on first use so that it
+   * stays constant.
+   */
   readonly #queuesMs = new Map<string, number>();
 
   /**
--- a/box/_runner_options.ts
+++ b/box/_runner_options.ts
@@ -30,7 +30,10 @@
 /** Dependencies of the runner. */
 export interface RunnerOptions {
   readonly nowMs: () => number;
-  /** Returns the idle time of this process's event loop, in milliseconds: a clock that stops while it is busy. */
+  /**
+   * Returns the event-loop idle time, in milliseconds: a clock that stops while this process is
+   * busy.
+   */
   readonly eventLoopIdleMs: () => number;
   readonly calls: LeafCalls;
   readonly leafs: () => LeafTable;
@@ -38,7 +41,10 @@
   readonly relays: RelayCalls;
   readonly quarantine: Quarantine;
   readonly access: LeafAccess;
-  /** Records the queue time at an index's leafs; returns the minimum of the latest samples. All in milliseconds. */
+  /**
+   * Records the queueing delay at an index's leafs; returns the minimum of the latest samples. All
+   * in milliseconds.
+   */
   readonly recordQueue: (index: string, queueMs: number) => number;
   readonly creditRequest: (service: string) => void;
   readonly takeExtraCall: (service: string, kind: ExtraCallKind) => boolean;
--- a/box/adaptive_timer.ts
+++ b/box/adaptive_timer.ts
@@ -1,6 +1,6 @@
 /**
- * A periodic timer with a short interval while there is work and a long one otherwise, so that standby boxes
- * rarely wake up.
+ * A periodic timer with a short interval while there is work and a long one otherwise, so that
+ * standby boxes rarely wake up.
  *
  * @module
  */
@@ -34,7 +34,10 @@
     this.#schedule(this.#options.busyIntervalMs);
   }
 
-  /** Switches to the short interval because there is work; no effect if that interval is already active. */
+  /**
+   * Switches to the short interval because there is work; no effect if that interval is already
+   * active.
+   */
   wake(): void {
     if (this.#isIdle) {
       clearTimeout(this.#timer);
--- a/box/auxiliary_servers.ts
+++ b/box/auxiliary_servers.ts
@@ -1,5 +1,6 @@
 /**
- * HTTP servers of a box other than the one for callers' requests: readiness, directory, peers and metrics.
+ * HTTP servers of a box other than the one for callers' requests: readiness, directory, peers and
+ * metrics.
  *
  * @module
  */
--- a/box/box_lifecycle.ts
+++ b/box/box_lifecycle.ts
@@ -1,6 +1,6 @@
 /**
- * The lifecycle of a box. During a planned stop it is removed from address lists first, keeps serving until
- * cached lists have expired, completes open requests and exits.
+ * The lifecycle of a box. During a planned stop it is removed from address lists first, keeps
+ * serving until cached lists have expired, completes open requests and exits.
  *
  * @module
  */
@@ -13,10 +13,16 @@
 } from "../lifecycle/mod.js";
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
-/** Time before the end of the stop's grace period from which no new requests are accepted, in milliseconds. */
+/**
+ * Time before the end of the stop's grace period from which no new requests are accepted, in
+ * milliseconds.
+ */
 const FINISH_MS = 1_500;
 
-/** Time before the end of the stop's grace period at which the process exits in any case, in milliseconds. */
+/**
+ * Time before the end of the stop's grace period at which the process exits in any case, in
+ * milliseconds.
+ */
 const EXIT_MS = 250;
 
 /** Interval of checks whether all requests have been answered, in milliseconds. */
@@ -29,7 +35,10 @@
   readonly runningCount: () => number;
   /** Called when the box is to be removed from address lists. */
   readonly onLeaving: () => void;
-  /** Called when callers' cached address lists have expired, so that no new requests need to be accepted. */
+  /**
+   * Called when callers' cached address lists have expired, so that no new requests need to be
+   * accepted.
+   */
   readonly onFinishing: () => void;
   /** Called once when the stop is complete. */
   readonly onEnd: () => void;
--- a/box/box_report.ts
+++ b/box/box_report.ts
@@ -1,5 +1,6 @@
 /**
- * The report of a box for operators: active configuration, known leafs with their status, remaining budgets.
+ * The report of a box for operators: active configuration, known leafs with their status, remaining
+ * budgets.
  *
  * @module
  */
@@ -28,7 +29,9 @@
   readonly meanMs: number;
   readonly openCalls: number;
   readonly failuresInRow: number;
-  /** Remaining time during which it is called only if no other leaf is available, in milliseconds. */
+  /**
+   * Remaining time during which it is called only if no other leaf is available, in milliseconds.
+   */
   readonly avoidedForMs: number;
 }
 
--- a/box/box_shell.ts
+++ b/box/box_shell.ts
@@ -1,5 +1,6 @@
 /**
- * One box: answers callers' requests by calling leafs, and follows the state of the store and the other boxes.
+ * One box: answers callers' requests by calling leafs, and follows the state of the store and the
+ * other boxes.
  *
  * @module
  */
@@ -33,7 +34,9 @@
 import type { CompiledPolicies } from "./route_policies.js";
 import { handleTimeJump } from "./time_jump.js";
 
-/** Interval of checks for overdue calls and expired state while the box is active, in milliseconds. */
+/**
+ * Interval of checks for overdue calls and expired state while the box is active, in milliseconds.
+ */
 const CLEANUP_INTERVAL_MS = 200;
 
 /** The same interval on a standby box, in milliseconds. */
@@ -243,8 +246,8 @@
   }
 
   /**
-   * Applies changed settings. Seeds and limits take effect immediately; addresses and names keep their values
-   * until the next start.
+   * Applies changed settings. Seeds and limits take effect immediately; addresses and names keep
+   * their values until the next start.
    *
    * @param settings - The new settings.
    */
@@ -307,7 +310,10 @@
     this.#onStateChange();
   }
 
-  /** Becomes ready once the state is complete, and notifies the boxes that receive updates from this one. */
+  /**
+   * Becomes ready once the state is complete, and notifies the boxes that receive updates from this
+   * one.
+   */
   #onStateChange(): void {
     if (this.#clusterState.isComplete && this.#lifecycle.phase === "starting") {
       this.#lifecycle.markConfigured();
@@ -320,8 +326,8 @@
   }
 
   /**
-   * Notifies the boxes that receive updates from this one; leafs of data centres that are in use again are
-   * marked cold.
+   * Notifies the boxes that receive updates from this one; leafs of data centres that are in use
+   * again are marked cold.
    */
   #onEvacuations(usedAgain: ReadonlyArray<string>): void {
     const reused = [...this.#clusterState.leafs.byId.values()].filter(({ dataCentre }) => {
--- a/box/caller_server.ts
+++ b/box/caller_server.ts
@@ -35,9 +35,14 @@
   readonly nowMs: () => number;
   /** Returns the maximum size of a request body in bytes; larger ones are refused. */
   readonly maxBodyBytes: () => number;
-  /** Returns whether the box is about to stop, so that responses ask callers to close the connection. */
+  /**
+   * Returns whether the box is about to stop, so that responses ask callers to close the
+   * connection.
+   */
   readonly isLeaving: () => boolean;
-  /** Handles a request; the returned function is called if the caller disconnects before the reply. */
+  /**
+   * Handles a request; the returned function is called if the caller disconnects before the reply.
+   */
   readonly onRequest: (request: IncomingRequest, sendReply: ReplyCallback) => () => void;
 }
 
@@ -164,8 +169,8 @@
 }
 
 /**
- * Sets the timeouts of idle connections. They are never shortened while the process runs, because callers may
- * still rely on the longer timeout for connections that are already open.
+ * Sets the timeouts of idle connections. They are never shortened while the process runs, because
+ * callers may still rely on the longer timeout for connections that are already open.
  *
  * @param server - The server.
  * @param limits - Timeouts that the configuration guarantees to callers.
--- a/box/make_quarantine_test.ts
+++ b/box/make_quarantine_test.ts
@@ -1,5 +1,5 @@
-// Regression test: the one box that may send probe calls of a suspected query must be among the boxes that
-// receive requests. Otherwise nothing ever clears a query that was suspected by mistake.
+// Regression test: the one box that may send trial calls of a suspected query must be among the
+// boxes that receive requests. Otherwise nothing ever clears a query that was suspected by mistake.
 import t from "tap";
 import type { Member } from "../model/mod.js";
 import { sampleMember } from "../standins/sample_member.js";
@@ -15,7 +15,7 @@
 });
 const SERVING = FLEET.slice(0, 18);
 
-/** Returns the boxes that may send a query under which three leafs crashed a minute ago. */
+/** Returns the boxes that may send a query that crashed three leafs a minute ago. */
 function boxesThatMaySend(fingerprint: string): ReadonlyArray<string> {
   return FLEET.filter(({ box }) => {
     const clock = { nowMs: 1_000 };
--- a/box/request_handler.ts
+++ b/box/request_handler.ts
@@ -1,5 +1,6 @@
 /**
- * Handles callers' requests: finds the route, applies the policies, runs the request and logs the outcome.
+ * Handles callers' requests: finds the route, applies the policies, runs the request and logs the
+ * outcome.
  *
  * @module
  */
@@ -149,7 +150,9 @@
     });
   }
 
-  /** Log fields of a finished request, with the age of the state that the decisions were based on. */
+  /**
+   * Log fields of a finished request, with the age of the state that the decisions were based on.
+   */
   #summaryFields(
     { blockedShards, fingerprint, lostLeafs, notes, state }: RequestSummary,
     version: number,
--- a/box/request_runner.ts
+++ b/box/request_runner.ts
@@ -65,7 +65,7 @@
   readonly deadlineAtMs: number;
   /** Stops all work because the caller has disconnected. */
   cancel(): void;
-  /** Replies immediately with the results received so far, as at the deadline. */
+  /** Replies immediately with the parts received so far, as at the deadline. */
   answerNow(): void;
 }
 
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Replies to all running requests because the process is about to exit; otherwise requests that wait for an
-   * unresponsive leaf would get no reply.
+   * Replies to all running requests because the process is about to exit; otherwise requests that
+   * wait for an unresponsive leaf would get no reply.
    *
    * @returns The number of requests that were still running.
    */
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Replies to requests whose deadline has passed. Timers do not run while the box is suspended, so leafs might
-   * otherwise keep working for callers that have already disconnected.
+   * Replies to requests whose deadline has passed. Timers do not run while the box is suspended, so
+   * leafs might otherwise keep working for callers that have already disconnected.
    */
   answerOverdue(): void {
     for (const request of [...this.#running]) {
--- a/box/request_terms.ts
+++ b/box/request_terms.ts
@@ -8,28 +8,31 @@
 import type { IncomingRequest } from "./caller_server.js";
 import type { Admission } from "./route_policies.js";
 
-/** Time reserved for processing in this box and sending the response to the caller, in milliseconds. */
+/**
+ * Time reserved for processing in this box and sending the response to the caller, in milliseconds.
+ */
 const ANSWER_MARGIN_MS = 14;
 
 /**
- * Additional time reserved for the first request on a connection, in milliseconds: the caller has already spent
- * time on connecting and often on resolving addresses.
+ * Additional time reserved for the first request on a connection, in milliseconds: the caller has
+ * already spent time on connecting and often on resolving addresses.
  */
 const OPENING_MARGIN_MS = 20;
 
 /** Limits of a request that the policy and the configuration determine. */
 export interface RequestLimits extends Pick<Admission, "maxAttempts" | "finishShare"> {
-  /** Maximum expected queue time of its calls at leafs, in milliseconds. */
+  /** Maximum expected queueing delay at leafs, in milliseconds. */
   readonly maxQueueMs: number;
 }
 
 /**
- * Computes the objective, deadline and limits of a request.
+ * Computes the latency objective, deadline and limits of a request.
  *
  * @param incoming - The request as received.
  * @param route - The route of the request.
  * @param limits - Limits from the policy and the configuration.
- * @returns The terms; the deadline is before the earlier of the caller's deadline and the route's timeout.
+ * @returns The terms; the deadline is before the earlier of the caller's deadline and the route's
+ *   timeout.
  */
 export function requestTerms(
   { arrivedAtMs, opensConnection, terms }: IncomingRequest,
--- a/box/route_policies.ts
+++ b/box/route_policies.ts
@@ -22,7 +22,7 @@
   readonly retryAfterMs: number;
   readonly placement: Placement;
   readonly maxAttempts: number;
-  /** Share of shards, 0 to 1, whose results suffice to answer without waiting for more. */
+  /** Share of the parts, 0 to 1, that suffices to answer without waiting for more. */
   readonly finishShare: number;
 }
 
@@ -51,7 +51,8 @@
 const PRIORITIES: ReadonlyArray<Priority> = ["urgent", "high", "normal", "low"];
 
 /**
- * Reads and compiles a file of programs. The compiler is imported on demand because loading it is slow.
+ * Reads and compiles a file of programs. The compiler is imported on demand because loading it is
+ * slow.
  *
  * @param path - JSON file: an object of route names, or `*`, each with its programs by decision.
  * @returns The programs, or a message on the first error.
--- a/box/time_jump.ts
+++ b/box/time_jump.ts
@@ -17,8 +17,9 @@
 }
 
 /**
- * Handles a jump. State from before a suspension may be outdated, so unless only the system clock was adjusted
- * the other boxes are queried immediately, and requests whose deadline has passed are answered.
+ * Handles a jump. State from before a suspension may be outdated, so unless only the system clock
+ * was adjusted the other boxes are queried immediately, and requests whose deadline has passed are
+ * answered.
  *
  * @param jump - The jump; without a suspension time it is unknown whether the box was suspended.
  * @param options - Components to notify.
--- a/calls/leaf_call.ts
+++ b/calls/leaf_call.ts
@@ -20,7 +20,7 @@
   readonly routeKey: RouteKey;
   /** Identifies the query: equal for all requests with the same content. */
   readonly fingerprint: string;
-  /** Whether it is the only call of a suspected query in flight. */
+  /** Whether it is a trial call, the only call of a suspected query in flight. */
   readonly isTrial: boolean;
   /** Maximum length of the answer, in bytes. */
   readonly maxBytes: number;
--- a/calls/leaf_calls.ts
+++ b/calls/leaf_calls.ts
@@ -30,7 +30,7 @@
 /** Dependencies of the calls. */
 export interface LeafCallsOptions {
   readonly nowMs: () => number;
-  /** Returns the total idle time of this process's event loop, in milliseconds. */
+  /** Returns the event-loop idle time, in milliseconds. */
   readonly eventLoopIdleMs: () => number;
   /** Maximum number of connections from this box to a leaf of a service. */
   readonly maxConnectionsTo: (service: string) => number;
@@ -165,7 +165,7 @@
 
   /**
    * Withdraws the calls of a query that wait for a connection, after the query has crashed a leaf.
-   * Probe calls stay unless the query is blocked completely.
+   * Trial calls stay unless the query is blocked completely.
    *
    * @param fingerprint - The query.
    */
--- a/calls/leaf_calls_test.ts
+++ b/calls/leaf_calls_test.ts
@@ -157,7 +157,7 @@
   t.equal(connections, 2, "a non-repeatable call opens a new connection, within the limit");
 });
 
-t.test("a call of a query that crashed leafs is not sent unless it is a probe", async (t) => {
+t.test("a call of a query that crashed leafs is not sent unless it is a trial call", async (t) => {
   const quarantine = makeQuarantine();
   const calls = makeLeafCalls(2, quarantine);
   const received: Array<string> = [];
@@ -208,7 +208,7 @@
   setLeafs(calls, []);
 });
 
-// Guards against unbounded memory use: an endless answer used to be buffered without a limit.
+// Guards against unbounded memory use by an endless answer.
 t.test("an endless answer is aborted and its connection closed", async (t) => {
   const piece = Buffer.alloc(1_048_576);
   let sentBytes = 0;
--- a/calls/unresponsive_leaf_test.ts
+++ b/calls/unresponsive_leaf_test.ts
@@ -6,7 +6,8 @@
 import { LOOPBACK, leafCall, makeLeafCalls, portOf, sendCall } from "./_leaf_call_harness.js";
 
 /**
- * Longer than the time after which an unanswered connection puts others in doubt, in milliseconds.
+ * Longer than the time after which an unanswered connection means that others may be dead, in
+ * milliseconds.
  */
 const UNRESPONSIVE_MS = 700;
 
--- a/cli/_entry_http.ts
+++ b/cli/_entry_http.ts
@@ -43,7 +43,8 @@
  * @param entry - Base URL of the entry.
  * @param call - The request.
  * @returns The response.
- * @throws CommandError if the entry cannot be reached; the outcome of the request is unknown in that case.
+ * @throws CommandError if the entry cannot be reached; the outcome of the request is unknown in
+ *   that case.
  */
 export async function callEntry(entry: string, call: EntryCall): Promise<EntryResponse> {
   const { method, path, body, timeoutMs = DEFAULT_TIMEOUT_MS } = call;
--- a/cli/_fleet_summary.ts
+++ b/cli/_fleet_summary.ts
@@ -1,12 +1,13 @@
 /**
- * Summarises the reports of many boxes: counts by data centre, and boxes that are not healthy or up to date.
+ * Summarises the reports of many boxes: counts by data centre, and boxes that are not healthy or up
+ * to date.
  *
  * @module
  */
 import type { BoxReport } from "../box/box_report.js";
 import type { ReportedCrashes } from "../quarantine/mod.js";
 
-/** A box that was asked for its report. */
+/** A box whose report was requested. */
 export interface QueriedBox {
   readonly box: string;
   readonly dataCentre: string;
@@ -14,7 +15,9 @@
   readonly report: BoxReport | undefined;
 }
 
-/** Age of a box's last update from the store from which it counts as disconnected, in milliseconds. */
+/**
+ * Age of a box's last update from the store from which it counts as disconnected, in milliseconds.
+ */
 const MAX_UPDATE_AGE_MS = 10_000;
 
 /** Number of remaining extra calls below which a budget counts as exhausted. */
@@ -91,7 +94,7 @@
   });
 }
 
-/** An evacuated data centre, and the number of boxes on which the evacuation is in force. */
+/** An evacuated data centre, and the number of boxes on which the evacuation is in effect. */
 export interface EvacuationSummary {
   readonly dataCentre: string;
   /** Number of boxes that send no calls there. */
@@ -101,7 +104,8 @@
 }
 
 /**
- * Counts the boxes on which each evacuation is in force; boxes that have not received it yet are missing.
+ * Counts the boxes on which each evacuation is in effect; boxes that have not received it yet are
+ * missing.
  *
  * @param queried - The boxes.
  * @returns The data centres that any box reports as evacuated, sorted by name.
@@ -118,7 +122,8 @@
 }
 
 /**
- * Lists suspected and quarantined queries, each in the most recently changed state that any box reports.
+ * Lists suspected and quarantined queries, each in the most recently changed state that any box
+ * reports.
  *
  * @param queried - The boxes.
  * @returns The queries, the latest change first.
--- a/cli/_fleet_summary_test.ts
+++ b/cli/_fleet_summary_test.ts
@@ -42,7 +42,7 @@
   ]);
 });
 
-t.test("evacuationsOf() counts the boxes with an evacuation in force", async (t) => {
+t.test("evacuationsOf() counts the boxes with an evacuation in effect", async (t) => {
   const boxes = [
     queriedBox("a", "hall-a", { evacuated: ["hall-b"] }),
     queriedBox("b", "hall-a", { evacuated: ["hall-b", "hall-c"] }),
--- a/cli/boxes_command.ts
+++ b/cli/boxes_command.ts
@@ -1,5 +1,6 @@
 /**
- * The command that shows the state of each box of the users' platform, and the one that clears a query.
+ * The command that shows the state of each box of the users' platform, and the one that clears a
+ * query.
  *
  * @module
  */
@@ -63,7 +64,10 @@
   return { exitCode, lines, data: chosen };
 }
 
-/** Requests the reports of one box and of all members that it lists; unreachable boxes delay no others. */
+/**
+ * Requests the reports of one box and of all members that it lists; unreachable boxes delay no
+ * others.
+ */
 async function queryAll(url: string): Promise<ReadonlyArray<QueriedBox>> {
   const first = await readReport(url);
   const self = first.members.find(({ box }) => box === first.box);
@@ -126,11 +130,11 @@
 
 function describeQuery(query: ReportedCrashes): string {
   const { changedAgoMs, fingerprint, lostLeafs, lostTrials, standing } = query;
-  const crashes = `${lostLeafs} leafs crashed while running it, ${lostTrials} of them in probe calls`;
+  const crashes = `${lostLeafs} leafs crashed while running it, ${lostTrials} of them in trial calls`;
   return `query ${fingerprint} is ${standing}: ${crashes}, last ${seconds(changedAgoMs)} ago`;
 }
 
-async function lift({ settings, positionals }: CommandContext): Promise<CommandResult> {
+async function clearQuery({ settings, positionals }: CommandContext): Promise<CommandResult> {
   const [fingerprint = ""] = positionals;
   const path = `${CLEAR_QUERY_PATH}${encodeURIComponent(fingerprint)}`;
   const { statusCode } = await callEntry(settings.entry, { method: "POST", path });
@@ -161,6 +165,6 @@
     help: "Clears a crash-inducing query on all boxes; --entry is the peer port of any box; the fingerprint is in the log line of each of the query's requests",
     positionalCount: 1,
     specs: {},
-    run: lift,
+    run: clearQuery,
   },
 };
--- a/cli/explain_command.ts
+++ b/cli/explain_command.ts
@@ -16,7 +16,9 @@
   readonly [field: string]: unknown;
 }
 
-/** Maximum time between a request's log line and other lines that may explain it, in milliseconds. */
+/**
+ * Maximum time between a request's log line and other lines that may explain it, in milliseconds.
+ */
 const MAX_TIME_DISTANCE_MS = 5_000;
 
 /** Bunyan's level of warnings, the minimum for lines without one of the prefixes. */
--- a/cli/status_command.ts
+++ b/cli/status_command.ts
@@ -14,7 +14,9 @@
   readonly report?: DaemonReport & { readonly ownedLeafs?: ReadonlyArray<string> };
 }
 
-/** Time since the last confirmation from which a configuration counts as degraded, in milliseconds. */
+/**
+ * Time since the last confirmation from which a configuration counts as degraded, in milliseconds.
+ */
 const DEGRADED_MS = 10_000;
 
 /**
--- a/clock/suspend_aware_clock.ts
+++ b/clock/suspend_aware_clock.ts
@@ -1,10 +1,10 @@
 /**
  * A monotonic clock that includes time in which the box was suspended.
  *
- * The monotonic clock of a process stops during a suspension, so ages of configurations, leafs, members and
- * budgets would come out too small. The time of day advances during a suspension but may also be stepped; the
- * time since boot distinguishes the two. Reading it takes system calls, so it is read only when the time of day
- * jumps forward, and once a second to check that it is reliable.
+ * The monotonic clock of a process stops during a suspension, so ages of configurations, leafs,
+ * members and budgets would be too small. The time of day advances during a suspension but may also
+ * be stepped; the time since boot distinguishes the two. Reading it takes system calls, so it is
+ * read only when the time of day jumps forward, and once a second to check that it is reliable.
  *
  * @module
  */
@@ -16,8 +16,8 @@
 const CHECK_INTERVAL_MS = 1_000;
 
 /**
- * Largest difference between boot time and monotonic time over one interval that counts as agreement, in
- * milliseconds. The operating system reports boot time in hundredths of a second.
+ * Maximum difference between boot time and monotonic time over one interval that counts as
+ * agreement, in milliseconds. The operating system reports boot time in hundredths of a second.
  */
 const TOLERANCE_MS = 60;
 
@@ -31,8 +31,8 @@
   /** Time of day; advances during a suspension and may be stepped. */
   readonly epochMs: () => number;
   /**
-   * Time since boot; advances during a suspension and is never stepped. Some platforms do not maintain it
-   * correctly.
+   * Time since boot; advances during a suspension and is never stepped. Some platforms do not
+   * maintain it correctly.
    */
   readonly bootMs: () => number;
 }
@@ -42,8 +42,8 @@
   /** Size of the jump, in milliseconds. */
   readonly jumpMs: number;
   /**
-   * Time in which the box was suspended, in milliseconds; 0 if the time of day was stepped, undefined if the
-   * cause is unknown.
+   * Time in which the box was suspended, in milliseconds; 0 if the time of day was stepped,
+   * `undefined` if the cause is unknown.
    */
   readonly suspendedMs: number | undefined;
 }
@@ -99,7 +99,10 @@
     return monotonicMs + this.#suspendedMs;
   }
 
-  /** Checks that boot time advances with monotonic time; does nothing until the check interval has passed. */
+  /**
+   * Checks that boot time advances with monotonic time; does nothing until the check interval has
+   * passed.
+   */
   checkBootClock(): void {
     const before = this.#lastCheck;
     if (this.#sources.monotonicMs() - before.monotonicMs < CHECK_INTERVAL_MS) {
--- a/cluster_state/_shared_state_fields.ts
+++ b/cluster_state/_shared_state_fields.ts
@@ -1,6 +1,6 @@
 /**
- * Validation of the state that a box sends to a peer. A leaf without an address or a route without a host would
- * otherwise crash each box that merges it.
+ * Validation of the state that a box sends to a peer. A leaf without an address or a route without
+ * a host would otherwise crash each box that merges it.
  *
  * The checks are written by hand, as a box merges thousands of leafs when it starts.
  *
--- a/cluster_state/cluster_state.ts
+++ b/cluster_state/cluster_state.ts
@@ -1,6 +1,6 @@
 /**
- * State of the cluster as a box knows it, from the store or from peers: the active configuration, the leafs and the
- * evacuations.
+ * State of the cluster as a box knows it, from the store or from peers: the active configuration,
+ * the leafs and the evacuations.
  *
  * @module
  */
@@ -26,15 +26,21 @@
 import { StoreWatch } from "./store_watch.js";
 
 /**
- * Number of services up to which a box lists the leafs from the store immediately when it starts. With more, it first
- * waits for a peer to send them.
+ * Number of services up to which a box lists the leafs from the store immediately when it starts.
+ * With more, it first waits for a peer to send them.
  */
 const MAX_SERVICES_FOR_IMMEDIATE_LIST = 100;
 
-/** Time after the start in which a box discovers its peers and whether it should watch the store, in milliseconds. */
+/**
+ * Time after the start in which a box discovers its peers and whether it should watch the store, in
+ * milliseconds.
+ */
 const PEER_DISCOVERY_MS = 1_000;
 
-/** Time after the start for which a box that does not watch the store waits for the leafs of a peer, in milliseconds. */
+/**
+ * Time after the start for which a box that does not watch the store waits for the leafs of a peer,
+ * in milliseconds.
+ */
 const PEER_WAIT_MS = 2_500;
 
 /** The active configuration and its origin. */
@@ -198,12 +204,12 @@
     }
   }
 
-  /** Active routes; undefined before the first configuration. */
+  /** Active routes; `undefined` if there is no configuration yet. */
   get routes(): RouteTable | undefined {
     return this.#routes;
   }
 
-  /** The active configuration and its origin; undefined before the first. */
+  /** The active configuration and its origin; `undefined` if there is none yet. */
   get activeConfiguration(): ActiveConfiguration | undefined {
     return this.#activeConfiguration;
   }
@@ -218,7 +224,7 @@
     return this.#evacuations.dataCentres;
   }
 
-  /** Evacuations to report to other boxes; undefined if there has been none. */
+  /** Evacuations to report to other boxes; `undefined` if there has been none. */
   get evacuationUpdate(): EvacuationUpdate | undefined {
     return this.#evacuations.update;
   }
@@ -246,7 +252,10 @@
     };
   }
 
-  /** Time of the last update from the store or a peer, on this box's clock; negative infinity before the first. */
+  /**
+   * Time of the last update from the store or a peer, on this box's clock; negative infinity before
+   * the first.
+   */
   get lastUpdateAtMs(): number {
     return this.#health.lastUpdateAtMs;
   }
@@ -286,7 +295,7 @@
   }
 
   /**
-   * Merges the state of a peer where it is newer.
+   * Merges the state of a peer if it is newer.
    *
    * @param shared - State received from the peer.
    */
@@ -299,8 +308,8 @@
   }
 
   /**
-   * Detects that the store was restored from a backup: leafs get time to write their entries again, and boxes are
-   * notified to write theirs.
+   * Detects that the store was restored from a backup: leafs get time to write their entries again,
+   * and boxes are notified to write theirs.
    */
   #detectRestore(position: StorePosition): void {
     if (this.#leafs.revision > 0 && eraOf(position) > eraOf(this.#leafs.revision)) {
--- a/cluster_state/evacuations.ts
+++ b/cluster_state/evacuations.ts
@@ -1,6 +1,6 @@
 /**
- * The data centres that operators have evacuated, from the store or from other boxes, whichever is newer. Evacuations
- * remain in effect while the store is unreachable.
+ * The data centres that operators have evacuated, from the store or from other boxes, whichever is
+ * newer. Evacuations remain in effect while the store is unreachable.
  *
  * @module
  */
@@ -9,8 +9,8 @@
 import type { BoxTelemetry } from "../telemetry/mod.js";
 
 /**
- * Time for which an evacuation that a restored store lacks remains in effect, in milliseconds, so that operators can
- * write it again.
+ * Time for which an evacuation that a restored store lacks remains in effect, in milliseconds, so
+ * that operators can write it again.
  */
 const REWRITE_TIMEOUT_MS = 10_000;
 
@@ -48,7 +48,10 @@
     return this.#position;
   }
 
-  /** Update for other boxes; undefined if no data centre was ever evacuated, which they assume by default. */
+  /**
+   * Update for other boxes; `undefined` if no data centre was ever evacuated, which they assume by
+   * default.
+   */
   get update(): EvacuationUpdate | undefined {
     return this.#hasEverEvacuated
       ? { position: this.#position, dataCentres: [...this.#dataCentres] }
--- a/cluster_state/leaf_change_log.ts
+++ b/cluster_state/leaf_change_log.ts
@@ -1,6 +1,6 @@
 /**
- * Log of the store revisions at which leafs' entries changed or were removed, from which a box sends a peer only the
- * changes that it lacks.
+ * Log of the store revisions at which leafs' entries changed or were removed, from which a box
+ * sends a peer only the changes that it lacks.
  *
  * @module
  */
@@ -62,7 +62,7 @@
    * Returns the changes after a revision.
    *
    * @param revision - Last known revision.
-   * @returns The changes, or undefined if the log does not reach back to the revision.
+   * @returns The changes, or `undefined` if the log does not reach back to the revision.
    */
   since(revision: number): LeafChangesSince | undefined {
     return revision < this.#firstRevision
--- a/cluster_state/leaf_registry.ts
+++ b/cluster_state/leaf_registry.ts
@@ -118,8 +118,9 @@
   }
 
   /**
-   * Drops the leafs whose entry did not reappear in time. While the store is unreachable, no entry can reappear for this
-   * box, and only leafs that a peer reported as expired are dropped: that peer does not report the removal again.
+   * Drops the leafs whose entry did not reappear in time. While the store is unreachable, no entry
+   * can reappear for this box, and only leafs that a peer reported as expired are dropped: that
+   * peer does not report the removal again.
    *
    * @param options - Whether this box can reach the store.
    */
@@ -148,7 +149,7 @@
       }
     }
     if (unreadable.length > 0) {
-      this.#options.telemetry.event("warn", "leafs: entries that cannot be read are passed over", {
+      this.#options.telemetry.event("warn", "leafs: entries that cannot be read are ignored", {
         count: unreadable.length,
         leafIds: unreadable
           .slice(0, MAX_LOGGED_LEAFS)
--- a/cluster_state/mod.ts
+++ b/cluster_state/mod.ts
@@ -1,6 +1,6 @@
 /**
- * State of the cluster as a box knows it from the store and from other boxes: the configuration, the leafs and the
- * evacuations.
+ * State of the cluster as a box knows it from the store and from other boxes: the configuration,
+ * the leafs and the evacuations.
  *
  * @module
  */
--- a/cluster_state/peer_catch_up.ts
+++ b/cluster_state/peer_catch_up.ts
@@ -13,7 +13,10 @@
 /** Timeout of a request to a peer, in milliseconds. */
 const PEER_REQUEST_TIMEOUT_MS = 1_000;
 
-/** Time to wait for an update from the store or a local box before a peer is queried, in milliseconds. */
+/**
+ * Time to wait for an update from the store or a local box before a peer is queried, in
+ * milliseconds.
+ */
 const UPDATE_WAIT_MS = 600;
 
 /** Options of the catch-up. */
@@ -27,8 +30,8 @@
   /** Returns whether a box is in this box's region. */
   readonly isLocal: (member: Member) => boolean;
   /**
-   * Called after a fetch from a box of another region, to notify the local boxes: they may be waiting for a local box
-   * that does not have the update.
+   * Called after a fetch from a box of another region, to notify the local boxes: they may be
+   * waiting for a local box that does not have the update.
    */
   readonly onRemoteUpdate: () => void;
   readonly telemetry: Pick<BoxTelemetry, "event">;
@@ -49,7 +52,8 @@
   }
 
   /**
-   * Fetches the state of a peer if its versions are newer and this box does not get them from elsewhere in time.
+   * Fetches the state of a peer if its versions are newer and this box does not get them from
+   * elsewhere in time.
    *
    * @param member - The peer.
    * @param progress - Versions that the peer has.
--- a/cluster_state/quarantine_archive.ts
+++ b/cluster_state/quarantine_archive.ts
@@ -1,6 +1,6 @@
 /**
- * Persists quarantined queries in the platform's store, so that they survive a simultaneous restart of all boxes.
- * Suspected queries are not persisted.
+ * Persists quarantined queries in the platform's store, so that they survive a simultaneous restart
+ * of all boxes. Suspected queries are not persisted.
  *
  * @module
  */
@@ -54,8 +54,8 @@
   /**
    * Schedules loading for when this box has discovered its peers.
    *
-   * @param isReader - Returns, at that time, whether this box should load; other boxes receive the queries from those
-   *   that do.
+   * @param isReader - Returns, at that time, whether this box should load; other boxes receive the
+   *   queries from those that do.
    */
   scheduleLoad(isReader: () => boolean): void {
     this.#timer = setTimeout(() => {
@@ -65,7 +65,10 @@
     }, PEER_DISCOVERY_MS);
   }
 
-  /** Loads the queries that earlier incarnations have persisted, with retries, and removes expired ones. */
+  /**
+   * Loads the queries that earlier incarnations have persisted, with retries, and removes expired
+   * ones.
+   */
   async load(): Promise<void> {
     await this.#retry("load", async () => {
       const listed = await this.#options.store.list(QUARANTINE_KIND, { mayBeStale: false });
@@ -86,7 +89,7 @@
    * Persists a query that was quarantined, and removes one that no longer is.
    *
    * @param record - New record of the query.
-   * @param before - Previous record; undefined if there was none.
+   * @param before - Previous record; `undefined` if there was none.
    */
   async recordChange(record: CrashRecord, before: CrashRecord | undefined): Promise<void> {
     const { fingerprint, standing } = record;
@@ -101,7 +104,8 @@
   }
 
   /**
-   * Persists all quarantined queries again, as a store that was restored from a backup may lack them.
+   * Persists all quarantined queries again, as a store that was restored from a backup may lack
+   * them.
    *
    * @param records - Records of all queries.
    */
--- a/cluster_state/shared_state.ts
+++ b/cluster_state/shared_state.ts
@@ -1,5 +1,6 @@
 /**
- * State that a box sends to a peer whose own is older: the configuration, and the leafs that have changed.
+ * State that a box sends to a peer whose own is older: the configuration, and the leafs that have
+ * changed.
  *
  * @module
  */
--- a/cluster_state/shared_state_test.ts
+++ b/cluster_state/shared_state_test.ts
@@ -71,7 +71,7 @@
   t.equal(merged.byId.get("b")?.draining, true);
 });
 
-t.test("a peer keeps an expired leaf for the remaining grace time", async (t) => {
+t.test("a peer keeps an expired leaf for the remaining grace period", async (t) => {
   const { changeLog, table } = initialState();
   const removal = { nowMs: 0, graceMs: 2_000 };
   const after = applyLeafChanges(table, { changed: [], removed: ["a"] }, removal);
--- a/cluster_state/store_health.ts
+++ b/cluster_state/store_health.ts
@@ -9,7 +9,9 @@
 /** Time in which the entry of a leaf may reappear after an outage of the store, in milliseconds. */
 const GRACE_MS = 2_000;
 
-/** Time after a recovery of the store in which missing entries count as expired, in milliseconds. */
+/**
+ * Time after a recovery of the store in which missing entries count as expired, in milliseconds.
+ */
 const RECOVERY_MS = 2_500;
 
 /** Options of the store health. */
@@ -40,7 +42,10 @@
     return this.#unreachable.size === 0;
   }
 
-  /** Time of the last update, from the store or by `recordUpdate()`; negative infinity before the first. */
+  /**
+   * Time of the last update, from the store or by `recordUpdate()`; negative infinity before the
+   * first.
+   */
   get lastUpdateAtMs(): number {
     return this.#lastUpdateAtMs;
   }
@@ -52,7 +57,8 @@
   }
 
   /**
-   * Returns the age of the store's last answer by kind, as some kinds may be reachable while others are not.
+   * Returns the age of the store's last answer by kind, as some kinds may be reachable while others
+   * are not.
    *
    * @returns The ages, in milliseconds.
    */
@@ -67,7 +73,7 @@
     this.#lastUpdateAtMs = this.#options.nowMs();
   }
 
-  /** Records a recovery of the store: missing entries may reappear for the grace time. */
+  /** Records a recovery of the store: missing entries may reappear for the grace period. */
   recordRecovery(): void {
     this.#recoveredAtMs = this.#options.nowMs();
   }
--- a/cluster_state/store_watch.ts
+++ b/cluster_state/store_watch.ts
@@ -13,16 +13,25 @@
   WATCH_RESPONSE_TIMEOUT_MS,
 } from "../platform/mod.js";
 
-/** Delay after a watch that returned changes, in milliseconds, to batch close changes into one charged call. */
+/**
+ * Delay after a watch that returned changes, in milliseconds, to batch close changes into one
+ * charged call.
+ */
 const BATCH_DELAY_MS = 500;
 
-/** The same delay shortly after the store has recovered, while expired entries are written again one by one. */
+/**
+ * The same delay shortly after the store has recovered, while expired entries are written again one
+ * by one.
+ */
 const RECOVERY_BATCH_DELAY_MS = 100;
 
 /** Time after a recovery in which the shorter delay applies, in milliseconds. */
 const RECOVERY_MS = 3_000;
 
-/** Time reserved to fetch a change and to notify other boxes before it must take effect, in milliseconds. */
+/**
+ * Time reserved to fetch a change and to notify other boxes before it must take effect, in
+ * milliseconds.
+ */
 const PROPAGATION_MS = 500;
 
 /** Maximum wait of a watch that the store allows, in milliseconds. */
@@ -38,9 +47,9 @@
 const PROBE_WAIT_MS = 100;
 
 /**
- * Timeouts of a list, and of a watch while the store is unreachable, in milliseconds, by consecutive failures. They are
- * short, as a call that started during an outage may never be answered; every fourth is longer, in case the store is
- * slow.
+ * Timeouts of a list, and of a watch while the store is unreachable, in milliseconds, by
+ * consecutive failures. They are short, as a call that started during an outage may never be
+ * answered; every fourth is longer, in case the store is slow.
  */
 const PROBE_TIMEOUTS_MS = [700, 700, 700, STORE_RESPONSE_TIMEOUT_MS] as const;
 
@@ -56,9 +65,9 @@
 }
 
 /**
- * Computes how long a watch may wait. A dropped connection is detected only after the wait and the answer timeout of the
- * watch. A change that happens just after the drop must still take effect in time, or at the latest when the box must
- * have recovered.
+ * Computes how long a watch may wait. A dropped connection is detected only after the wait and the
+ * answer timeout of the watch. A change that happens just after the drop must still take effect in
+ * time, or at the latest when the box must have recovered.
  *
  * @param terms - Limits that apply.
  * @returns The wait, in milliseconds.
@@ -86,7 +95,10 @@
   onChanges(changes: StoreChanges): void;
   /** Called for each answer of the store, including those without changes. */
   onAnswer(): void;
-  /** Called when the history since the last revision was compacted, before all objects are listed again. */
+  /**
+   * Called when the history since the last revision was compacted, before all objects are listed
+   * again.
+   */
   onHistoryCompacted(): void;
   /** Called for each failed call; after the first, the store counts as unreachable. */
   onFailed(failed: FailedStoreCall): void;
--- a/cluster_state/store_watch_recovery_test.ts
+++ b/cluster_state/store_watch_recovery_test.ts
@@ -1,5 +1,5 @@
-// After an outage, a change must be received before it must take effect, also if calls made during the outage are never
-// answered.
+// After an outage, a change must be received before it must take effect, also if calls made during
+// the outage are never answered.
 
 import { mock } from "node:test";
 import fc from "fast-check";
@@ -73,7 +73,10 @@
   return new Promise((resolve) => setTimeout(resolve, delayMs));
 }
 
-/** Runs a watch through an outage and returns how late the change takes effect, in milliseconds; negative if in time. */
+/**
+ * Runs a watch through an outage and returns how late the change takes effect, in milliseconds;
+ * negative if in time.
+ */
 async function delayPastDueMs(outage: Outage): Promise<number> {
   mock.timers.enable({ apis: ["setTimeout"] });
   const store = new UnresponsiveStore(outage);
--- a/cluster_state/unreadable_entry_test.ts
+++ b/cluster_state/unreadable_entry_test.ts
@@ -1,4 +1,5 @@
-// A leaf whose entry becomes unreadable must no longer be used, on this box and on its peers; other entries are not affected.
+// A leaf whose entry becomes unreadable must no longer be used, on this box and on its peers; other
+// entries are not affected.
 
 import t from "tap";
 import { applyLeafList, EMPTY_LEAF_TABLE } from "../leafs/mod.js";
@@ -32,10 +33,10 @@
   const { registry } = makeRegistry();
   registry.applyChanges({ changed: [entry("a", 11, UNREADABLE)], removed: [], revision: 11 });
   t.same([...registry.table.byId.keys()], ["b"]);
-  t.equal(registry.table.expiresAtMs.size, 0, "it has no grace time");
+  t.equal(registry.table.expiresAtMs.size, 0, "it has no grace period");
 });
 
-t.test("a list with an unreadable entry removes its leaf without grace time", async (t) => {
+t.test("a list with an unreadable entry removes its leaf without a grace period", async (t) => {
   const { registry } = makeRegistry();
   registry.applyList({ objects: [entry("a", 11, UNREADABLE), entry("b", 6)], revision: 12 });
   t.same([...registry.table.byId.keys()], ["b"]);
@@ -70,7 +71,7 @@
   const { registry, lines } = makeRegistry();
   const changed = Array.from({ length: 100 }, (_, index) => entry(`x-${index}`, 11, UNREADABLE));
   registry.applyChanges({ changed, removed: [], revision: 11 });
-  const ignoredLines = lines.filter(({ text }) => text.includes("passed over"));
+  const ignoredLines = lines.filter(({ text }) => text.includes("cannot be read are ignored"));
   t.equal(ignoredLines.length, 1);
   t.match(ignoredLines[0]?.fields, { count: 100 });
   t.ok(JSON.stringify(ignoredLines).length < 1_500, "the length of the line is bounded");
--- a/fleet/_fleet_message_fields.ts
+++ b/fleet/_fleet_message_fields.ts
@@ -1,9 +1,9 @@
 /**
- * Validation of the datagrams between boxes. An invalid value would otherwise spread from box to box and crash each of
- * them.
+ * Validation of the datagrams between boxes. An invalid value would otherwise spread from box to
+ * box and crash each of them.
  *
- * The checks are written by hand, as a box of a large fleet reads hundreds of datagrams while it starts, for which
- * a schema library is too slow.
+ * The checks are written by hand, as a box of a large fleet reads hundreds of datagrams while it
+ * starts, for which a schema library is too slow.
  *
  * @module
  */
--- a/fleet/fleet_link.ts
+++ b/fleet/fleet_link.ts
@@ -1,6 +1,6 @@
 /**
- * Maintains the membership table by gossip over UDP: each box sends a request to one other box per interval, answers
- * requests, and notifies all boxes immediately before it stops.
+ * Maintains the membership table by gossip over UDP: each box sends a request to one other box per
+ * interval, answers requests, and notifies all boxes immediately before it stops.
  *
  * @module
  */
@@ -49,7 +49,7 @@
   readonly crashes: () => ReadonlyArray<ReportedCrashes>;
   /** Called with the crash-inducing queries that another box reports. */
   readonly onCrashes: (crashes: ReadonlyArray<ReportedCrashes>, sender: Member | undefined) => void;
-  /** Returns the evacuated data centres; undefined if none was ever evacuated. */
+  /** Returns the evacuated data centres; `undefined` if none was ever evacuated. */
   readonly evacuations: () => EvacuationUpdate | undefined;
   /** Called with the evacuations that another box reports. */
   readonly onEvacuations: (update: EvacuationUpdate, sender: Member | undefined) => void;
@@ -147,7 +147,8 @@
   }
 
   /**
-   * Requests the current state of other boxes immediately, as this box's own may be outdated after a suspension.
+   * Requests the current state of other boxes immediately, as this box's own may be outdated after
+   * a suspension.
    *
    * @param members - Boxes to contact.
    */
--- a/fleet/fleet_messages.ts
+++ b/fleet/fleet_messages.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams that boxes exchange: known members, and the versions of stored data that the sender has. They are
- * deflated lists without field names, to save traffic between regions.
+ * Datagrams that boxes exchange: known members, and the versions of stored data that the sender
+ * has. They are deflated lists without field names, to save traffic between regions.
  *
  * @module
  */
@@ -34,14 +34,17 @@
   readonly members: ReadonlyArray<Member>;
   /** Crash-inducing queries. */
   readonly crashes: ReadonlyArray<ReportedCrashes>;
-  /** Evacuated data centres; undefined if none was ever evacuated. */
+  /** Evacuated data centres; `undefined` if none was ever evacuated. */
   readonly evacuations?: EvacuationUpdate | undefined;
 }
 
 /** Maximum size of an inflated datagram, in bytes. */
 const MAX_MESSAGE_BYTES = 65_536;
 
-/** Small buffers: a datagram fits into a window of 4 KB, and the default memory per call is far larger. */
+/**
+ * Small buffers: a datagram fits into a window of 4 KB, and the default memory per call is far
+ * larger.
+ */
 const DEFLATE = { windowBits: 12, memLevel: 4, chunkSize: 4_096, level: 1 } as const;
 
 const INFLATE = { windowBits: 12, chunkSize: 4_096, maxOutputLength: MAX_MESSAGE_BYTES } as const;
@@ -68,7 +71,7 @@
  * Decodes a datagram.
  *
  * @param data - Received bytes.
- * @returns The message, or undefined if the bytes are not a valid one.
+ * @returns The message, or `undefined` if the bytes are not a valid one.
  */
 export function decodeFleetMessage(data: Buffer): FleetMessage | undefined {
   try {
--- a/fleet/fleet_view.ts
+++ b/fleet/fleet_view.ts
@@ -1,6 +1,6 @@
 /**
- * Decisions that a box derives from the boxes it knows: which of them serve, watch the store and receive updates, and
- * its own share of limits that all boxes share.
+ * Decisions that a box derives from the boxes it knows: which of them serve, watch the store and
+ * receive updates, and its own share of limits that all boxes share.
  *
  * @module
  */
@@ -13,8 +13,8 @@
 const MAX_CONNECTIONS = 8;
 
 /**
- * Share of the slack that the serving boxes divide among themselves. All boxes divide the remainder, for requests that
- * reach a box on standby.
+ * Share of the slack that the serving boxes divide among themselves. All boxes divide the
+ * remainder, for requests that reach a box on standby.
  */
 const SERVING_SHARE = 0.72;
 
@@ -53,7 +53,10 @@
     this.#watchesStore = undefined;
   }
 
-  /** Returns the number of boxes that divide shared limits, at least the number of seeds in the settings. */
+  /**
+   * Returns the number of boxes that divide shared limits, at least the number of seeds in the
+   * settings.
+   */
   countBoxes(): number {
     const running = this.#options.members().filter(({ state }) => state !== "dead");
     return Math.max(this.#options.settings().seeds.length, running.length);
@@ -79,26 +82,31 @@
   }
 
   /**
-   * Returns the addresses that callers should use. While this box has been disconnected from all others for too long,
-   * this is only its own address.
+   * Returns the addresses that callers should use. While this box has been disconnected from all
+   * others for too long, this is only its own address.
    *
    * @param region - Region of the caller.
-   * @param homes - Allowed regions of the routes for the requested host; empty if there is no restriction.
-   * @returns Addresses of the region's serving boxes; if there are none, of those of the allowed regions, or else of all
-   *   boxes.
+   * @param allowedRegions - Allowed regions of the routes for the requested host; empty if there is
+   *   no restriction.
+   * @returns Addresses of the region's serving boxes; if there are none, of those of the allowed
+   *   regions, or else of all boxes.
    */
   resolveAddresses(
     region: string,
-    homes: ReadonlyArray<string> = [],
+    allowedRegions: ReadonlyArray<string> = [],
   ): ReadonlyArray<SocketAddress> {
     const self = this.#selfIfIsolated();
     const local = self === undefined ? this.servingBoxes(region) : [self];
-    const allowed = local.length > 0 ? local : homes.flatMap((home) => this.servingBoxes(home));
+    const allowed =
+      local.length > 0 ? local : allowedRegions.flatMap((each) => this.servingBoxes(each));
     const boxes = allowed.length > 0 ? allowed : this.#options.alive();
     return boxes.map(({ address, callerPort }) => ({ address, port: callerPort }));
   }
 
-  /** Returns this box if it has been disconnected for so long that the states of the other boxes may be outdated. */
+  /**
+   * Returns this box if it has been disconnected for so long that the states of the other boxes may
+   * be outdated.
+   */
   #selfIfIsolated(): Member | undefined {
     const { alive, settings, sinceLastContactMs } = this.#options;
     const { box, recoveryDeadlineMs } = settings();
@@ -122,8 +130,9 @@
   }
 
   /**
-   * Returns the boxes to notify immediately of an update: all other boxes of this region, and one of each other region,
-   * which notifies its own. Boxes that watch the store are included, as it may refuse some of them.
+   * Returns the boxes to notify immediately of an update: all other boxes of this region, and one
+   * of each other region, which notifies its own. Boxes that watch the store are included, as it
+   * may refuse some of them.
    *
    * @returns The boxes to notify.
    */
@@ -145,7 +154,8 @@
   }
 
   /**
-   * Computes how many connections this box may have to a leaf. The serving boxes divide them; a box on standby needs few.
+   * Computes how many connections this box may have to a leaf. The serving boxes divide them; a box
+   * on standby needs few.
    *
    * @param maxConnections - Maximum number of connections to the leaf from all boxes.
    * @returns This box's share, at least 1.
@@ -158,7 +168,8 @@
   }
 
   /**
-   * Computes this box's share of the slack of all boxes. The shares add up to 1 if all boxes know the same members.
+   * Computes this box's share of the slack of all boxes. The shares add up to 1 if all boxes know
+   * the same members.
    *
    * @returns The share, 0 to 1.
    */
@@ -169,9 +180,10 @@
   }
 
   /**
-   * Returns the boxes that may call leafs of a data centre while these are cold: the boxes that serve its region. Dead ones
-   * are included, as a disconnected box continues to call. The result is empty until another box is known, as otherwise
-   * each of several boxes that start together would take the entire limit.
+   * Returns the boxes that may call leafs of a data centre while these are cold: the boxes that
+   * serve its region. Dead ones are included, as a disconnected box continues to call. The result
+   * is empty until another box is known, as otherwise each of several boxes that start together
+   * would take the entire limit.
    *
    * @param dataCentre - Name of the data centre.
    * @returns The ids of the boxes.
--- a/fleet/fleet_view_test.ts
+++ b/fleet/fleet_view_test.ts
@@ -55,7 +55,8 @@
   t.equal(informed.size, MEMBERS.length);
 });
 
-// A disconnected box probes only one other box per second, so it marks many of them dead too late for callers.
+// A disconnected box probes only one other box per second, so it marks many of them dead too late
+// for callers.
 t.test("resolveAddresses() returns only this box after a long disconnection", async (t) => {
   const [self] = MEMBERS;
   if (self === undefined) {
@@ -114,7 +115,10 @@
   t.ok((shares.at(-1) ?? 0) > 0, "a box on standby has a share");
 });
 
-/** Share of the slack that boxes use; see `extra_calls`. The remainder covers changes of the serving boxes. */
+/**
+ * Share of the slack that boxes use; see `extra_calls`. The remainder covers changes of the serving
+ * boxes.
+ */
 const SLACK_USED = 0.56;
 
 t.test("slack used by serving boxes that fail leaves room for their replacements", async (t) => {
--- a/fleet/mod.ts
+++ b/fleet/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Fleet membership: which boxes exist, which of them serve and watch the store, and the datagrams that they exchange.
+ * Fleet membership: which boxes exist, which of them serve and watch the store, and the datagrams
+ * that they exchange.
  *
  * @module
  */
--- a/fleet/relay_places.ts
+++ b/fleet/relay_places.ts
@@ -1,6 +1,7 @@
 /**
- * Places whose boxes relay calls to their leafs: other regions, and other data centres of this region. Relaying saves
- * charged traffic between them, and only a few boxes close to a leaf keep connections to it.
+ * Places whose boxes relay calls to their leafs: other regions, and other data centres of this
+ * region. Relaying saves charged traffic between them, and only a few boxes close to a leaf keep
+ * connections to it.
  *
  * @module
  */
@@ -56,7 +57,7 @@
    * Returns the place whose boxes can relay calls to a leaf.
    *
    * @param leaf - The leaf.
-   * @returns The place, or undefined for a leaf of this data centre.
+   * @returns The place, or `undefined` if the leaf is in this data centre.
    */
   placeOf(leaf: Pick<Leaf, "dataCentre">): string | undefined {
     return PLACE_FORMATTERS[this.distance(leaf)](leaf.dataCentre, this.#options.regionOf);
--- a/fleet/self_member.ts
+++ b/fleet/self_member.ts
@@ -7,7 +7,10 @@
 import type { Member } from "../model/mod.js";
 import type { BoxSettings } from "../platform/mod.js";
 
-/** Number of random bytes that identify an incarnation of a box; few, as each datagram contains them. */
+/**
+ * Number of random bytes that identify an incarnation of a box; few, as each datagram contains
+ * them.
+ */
 const INCARNATION_BYTES = 6;
 
 /**
--- a/fleet/serving_boxes.ts
+++ b/fleet/serving_boxes.ts
@@ -1,7 +1,7 @@
 /**
- * Selects the boxes of a region that receive requests from callers and other regions. Large boxes are preferred, so
- * that their connections to leafs stay in use and few requests reach small boxes. The remaining boxes are on standby
- * until serving boxes fail.
+ * Selects the boxes of a region that receive requests from callers and other regions. Large boxes
+ * are preferred, so that their connections to leafs stay in use and few requests reach small boxes.
+ * The remaining boxes are on standby until serving boxes fail.
  *
  * @module
  */
@@ -11,15 +11,18 @@
 /** Minimum number of serving boxes in a region that has as many, so that it tolerates failures. */
 const MIN_SERVING = 4;
 
-/** Minimum share of a region's processor cores that the serving boxes have, to leave capacity for bursts. */
+/**
+ * Minimum share of a region's processor cores that the serving boxes have, to leave capacity for
+ * bursts.
+ */
 const MIN_CORES_SHARE = 0.5;
 
 /** Minimum share of the cores of a region's largest box with which a box counts as large. */
 const LARGE_BOX_SHARE = 0.5;
 
 /**
- * Share of a region's processor cores up to which small boxes also serve. Each serving box needs connections to all
- * leafs of its region.
+ * Share of a region's processor cores up to which small boxes also serve. Each serving box needs
+ * connections to all leafs of its region.
  */
 const SMALL_BOX_CORES_SHARE = 0.25;
 
@@ -27,7 +30,8 @@
 const DEFAULT_CORES = 1;
 
 /**
- * Selects the boxes that serve a region. The result is the same on each box that knows the same members.
+ * Selects the boxes that serve a region. The result is the same on each box that knows the same
+ * members.
  *
  * @param members - Boxes of the region that accept work.
  * @returns The serving boxes, largest first unless all boxes serve.
--- a/leaf_access/leaf_access.ts
+++ b/leaf_access/leaf_access.ts
@@ -16,7 +16,7 @@
 
 /** What the decision depends on. */
 export interface LeafAccessOptions {
-  /** The current routes, or `undefined` before the first configuration. */
+  /** The current routes, or `undefined` if there is no configuration yet. */
   readonly routes: () => RouteTable | undefined;
   readonly regionOf: (dataCentre: string) => string;
   /** Data centres whose leafs may not be called. */
@@ -32,7 +32,7 @@
   readonly routeKey: RouteKey;
   /** Identifies the query: equal for all requests with the same content. */
   readonly fingerprint: string;
-  /** Whether it is the only call of a suspected query in flight. */
+  /** Whether it is a trial call, the only call of a suspected query in flight. */
   readonly isTrial: boolean;
 }
 
--- a/leaf_access/leaf_access_test.ts
+++ b/leaf_access/leaf_access_test.ts
@@ -76,14 +76,17 @@
   t.equal(access.blockReasonForLeaf(leafIn("north 1"), ROUTE_KEY), undefined);
 });
 
-t.test("blockReasonForCall() blocks every call of a quarantined query but its probe", async (t) => {
-  const access = accessWith({ quarantine: { permission: () => "deferred" } });
-  const call = { leaf: leafIn("north 1"), routeKey: ROUTE_KEY, fingerprint: "q", isTrial: false };
-  t.same(access.blockReasonForCall(call), { kind: "quarantined", fingerprint: "q" });
-  t.equal(access.blockReasonForCall({ ...call, isTrial: true }), undefined);
-});
+t.test(
+  "blockReasonForCall() blocks every call of a quarantined query but its trial call",
+  async (t) => {
+    const access = accessWith({ quarantine: { permission: () => "deferred" } });
+    const call = { leaf: leafIn("north 1"), routeKey: ROUTE_KEY, fingerprint: "q", isTrial: false };
+    t.same(access.blockReasonForCall(call), { kind: "quarantined", fingerprint: "q" });
+    t.equal(access.blockReasonForCall({ ...call, isTrial: true }), undefined);
+  },
+);
 
-t.test("blockReasonForCall() blocks a probe too if its leaf may not be called", async (t) => {
+t.test("blockReasonForCall() blocks a trial call too if its leaf may not be called", async (t) => {
   const access = accessWith({ evacuated: () => new Set(["north 1"]) });
   const call = { leaf: leafIn("north 1"), routeKey: ROUTE_KEY, fingerprint: "q", isTrial: true };
   t.equal(access.blockReasonForCall(call)?.kind, "evacuated");
--- a/leafs/choose_leaf.ts
+++ b/leafs/choose_leaf.ts
@@ -32,7 +32,7 @@
   readonly isCold?: (leafId: string) => boolean;
   /** Latency objective of the query, in milliseconds, if known. */
   readonly objectiveMs?: number | undefined;
-  /** IDs of leafs that must not be selected, such as those already called. */
+  /** Ids of leafs that must not be selected, such as those already called. */
   readonly excluded: ReadonlySet<string>;
 }
 
@@ -50,8 +50,8 @@
 
 /**
  * Cost factor for the time by which a leaf that reports a slowdown is expected to exceed its share
- * of the objective. Does not apply to leafs that merely have a queue, as all queries would then
- * move to another region at the same time.
+ * of the latency objective. Does not apply to leafs that merely have a queue, as all queries would
+ * then move to another region at the same time.
  */
 const LATE_COST_FACTOR = 4;
 
--- a/leafs/choose_leaf_test.ts
+++ b/leafs/choose_leaf_test.ts
@@ -86,13 +86,16 @@
   );
 });
 
-t.test("chooseLeaf() keeps a local leaf that is slow but within the objective", async (t) => {
-  const slow = { factor: 2, reportedAtMs: 990, sinceMs: 990 };
-  const inTime = contextWith({ "b local": { meanMs: 22, slowdown: slow } }, { objectiveMs: 100 });
-  t.equal(chooseLeaf([REMOTE, LOCAL], inTime)?.leaf, LOCAL);
-  const late = contextWith({ "b local": { meanMs: 45, slowdown: slow } }, { objectiveMs: 100 });
-  t.equal(chooseLeaf([REMOTE, LOCAL], late)?.leaf, REMOTE);
-});
+t.test(
+  "chooseLeaf() keeps a local leaf that is slow but within the latency objective",
+  async (t) => {
+    const slow = { factor: 2, reportedAtMs: 990, sinceMs: 990 };
+    const inTime = contextWith({ "b local": { meanMs: 22, slowdown: slow } }, { objectiveMs: 100 });
+    t.equal(chooseLeaf([REMOTE, LOCAL], inTime)?.leaf, LOCAL);
+    const late = contextWith({ "b local": { meanMs: 45, slowdown: slow } }, { objectiveMs: 100 });
+    t.equal(chooseLeaf([REMOTE, LOCAL], late)?.leaf, REMOTE);
+  },
+);
 
 // Guards against moving all calls to another region while local leafs have queues.
 t.test("chooseLeaf() keeps local leafs that only have queues", async (t) => {
--- a/leafs/leaf.ts
+++ b/leafs/leaf.ts
@@ -27,12 +27,12 @@
 }
 
 /**
- * Returns whether two entries with the same ID describe the same incarnation of a leaf. Statistics
+ * Returns whether two entries with the same id describe the same incarnation of a leaf. Statistics
  * and open calls do not carry over to a new incarnation. The address is compared as well, for leafs
  * that do not report a start time.
  *
  * @param one - A leaf entry.
- * @param other - Another entry with the same ID.
+ * @param other - Another entry with the same id.
  * @returns Whether both describe the same incarnation.
  */
 export function isSameIncarnation(one: Leaf, other: Leaf): boolean {
--- a/leafs/leaf_health.ts
+++ b/leafs/leaf_health.ts
@@ -84,7 +84,7 @@
  * Records that a call was sent.
  *
  * @param health - Health before the call.
- * @param call - ID of the call and the current event-loop idle time, in milliseconds.
+ * @param call - Id of the call and the current event-loop idle time, in milliseconds.
  * @returns The updated health.
  */
 export function recordCallSent(
--- a/leafs/leaf_table.ts
+++ b/leafs/leaf_table.ts
@@ -1,5 +1,5 @@
 /**
- * Table of known leafs, indexed by ID and by service.
+ * Table of known leafs, indexed by id and by service.
  *
  * @module
  */
@@ -11,7 +11,8 @@
   readonly byId: ReadonlyMap<string, Leaf>;
   readonly byService: ReadonlyMap<string, ReadonlyArray<Leaf>>;
   /**
-   * Expiry times of leafs whose entry was deleted but may be restored, in milliseconds, by leaf ID.
+   * Times at which expired leafs are dropped, in milliseconds, by leaf id. Their entry is missing
+   * but may reappear.
    */
   readonly expiresAtMs: ReadonlyMap<string, number>;
   /**
@@ -34,10 +35,10 @@
 export interface LeafChanges {
   /** New or modified entries; entries older than the known ones are ignored. */
   readonly changed: ReadonlyArray<Leaf>;
-  /** IDs of deleted entries. */
+  /** Ids of deleted entries. */
   readonly removed: ReadonlyArray<string>;
   /**
-   * IDs of entries that exist but cannot be parsed; these leafs are dropped without a grace period.
+   * Ids of entries that exist but cannot be parsed; these leafs are dropped without a grace period.
    */
   readonly unreadable?: ReadonlyArray<string>;
 }
@@ -46,7 +47,7 @@
 export interface RemovalOptions {
   readonly nowMs: number;
   /**
-   * Grace period for a deleted entry to be restored, in milliseconds; 0 drops the leaf immediately.
+   * Time in which a missing entry may reappear, in milliseconds; 0 drops the leaf immediately.
    */
   readonly graceMs: number;
 }
@@ -129,7 +130,7 @@
 
 /** How a complete list of entries is applied. */
 export interface LeafListOptions extends RemovalOptions {
-  /** IDs of listed entries that cannot be parsed; none by default. */
+  /** Ids of listed entries that cannot be parsed; none by default. */
   readonly unreadable?: ReadonlyArray<string>;
 }
 
@@ -138,7 +139,7 @@
  *
  * @param table - The current table.
  * @param listed - All entries that can be parsed.
- * @param options - IDs of unreadable entries, current time and grace period in milliseconds.
+ * @param options - Ids of unreadable entries, current time and grace period in milliseconds.
  * @returns The updated table.
  */
 export function applyLeafList(
--- a/lifecycle/daemon_lifecycle.ts
+++ b/lifecycle/daemon_lifecycle.ts
@@ -2,8 +2,8 @@
  * The lifecycle of a daemon as an xstate machine.
  *
  * A daemon starts and becomes ready once it has a configuration. On a planned stop it keeps serving
- * until callers' cached address lists have expired, then completes open requests and stops. A second
- * stop request has no effect.
+ * until callers' cached address lists have expired, then completes open requests and stops. A
+ * second stop request has no effect.
  *
  * @module
  */
--- a/limits/shared_limit.ts
+++ b/limits/shared_limit.ts
@@ -1,5 +1,5 @@
 /**
- * A rate limit that all entry boxes enforce together, without run-time coordination.
+ * A rate limit that all entry boxes enforce together, without coordination at run time.
  *
  * Each entry refills its own bucket with an equal part of the rate: the rate divided by the number
  * of entry boxes in the platform's box list. An entry that runs out borrows tokens from another,
--- a/membership/member_order.ts
+++ b/membership/member_order.ts
@@ -14,8 +14,9 @@
 };
 
 /**
- * Reports whether one record of a daemon overrides another. The order is the same on every box: the later
- * incarnation wins, then the higher version that the daemon gave itself, then the more severe state.
+ * Reports whether one record of a daemon overrides another. The order is the same on every box: the
+ * later incarnation wins, then the higher version that the daemon gave itself, then the more severe
+ * state.
  *
  * @param candidate - Received record.
  * @param current - Known record.
--- a/membership/membership.ts
+++ b/membership/membership.ts
@@ -1,7 +1,8 @@
 /**
- * The membership table of one daemon, based on SWIM: every second it probes one other daemon. A daemon that does
- * not answer is suspected and, unless it refutes the suspicion in time, considered dead. Changes are piggybacked on
- * the messages, so that the traffic of a daemon does not grow with the number of daemons.
+ * The membership table of one daemon, based on SWIM: every second it probes one other daemon. A
+ * daemon that does not answer is suspected and, unless it refutes the suspicion in time, considered
+ * dead. Changes are piggybacked on the messages, so that the traffic of a daemon does not grow with
+ * the number of daemons.
  *
  * Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
  * Membership Protocol", 2002.
@@ -15,7 +16,10 @@
 /** Time in which a suspected daemon can refute the suspicion, in milliseconds. */
 export const SUSPICION_TIMEOUT_MS = 2_500;
 
-/** Time for which a dead daemon is remembered, so that stale records do not revive it, in milliseconds. */
+/**
+ * Time for which a dead daemon is remembered, so that stale records do not revive it, in
+ * milliseconds.
+ */
 export const DEAD_RETENTION_MS = 300_000;
 
 /** Maximum number of recently changed members in one message. */
@@ -123,7 +127,8 @@
 }
 
 /**
- * Marks daemons dead whose suspicion timeout has passed, and removes those past the retention time of dead daemons.
+ * Marks daemons dead whose suspicion timeout has passed, and removes those past the retention time
+ * of dead daemons.
  *
  * @param membership - Current table.
  * @param options - Current time, in milliseconds.
@@ -146,7 +151,8 @@
 }
 
 /**
- * Selects the members to piggyback on one message: the most recently changed, and a few random ones.
+ * Selects the members to piggyback on one message: the most recently changed, and a few random
+ * ones.
  *
  * @param membership - Current table.
  * @param randomInt - Returns a random integer from 0 up to, but excluding, its argument.
--- a/model/catalog_object.ts
+++ b/model/catalog_object.ts
@@ -11,7 +11,7 @@
 export interface HistoryEntry {
   /** Revision that the change created. */
   readonly revision: number;
-  /** ID of the submission that made the change. */
+  /** Id of the submission that made the change. */
   readonly submissionId: string;
   /** Operator who submitted the change. */
   readonly author: string;
--- a/policy/_check_names.ts
+++ b/policy/_check_names.ts
@@ -5,7 +5,7 @@
  */
 import { SAMPLE_INPUT } from "./policy_input.js";
 
-/** An undefined name, and the ID of the expression that uses it. */
+/** An undefined name, and the id of the expression that uses it. */
 export interface UndefinedName {
   readonly name: string;
   readonly exprId: string;
--- a/quarantine/crash_record.ts
+++ b/quarantine/crash_record.ts
@@ -52,7 +52,7 @@
 /** A leaf's connection that closed before the answer. */
 export interface LeafCrash {
   readonly fingerprint: string;
-  /** Whether the call was a trial: the only call of a suspected query in flight. */
+  /** Whether it was a trial call, the only call of a suspected query in flight. */
   readonly isTrial: boolean;
   readonly nowMs: number;
 }
--- a/quarantine/request_fingerprint.ts
+++ b/quarantine/request_fingerprint.ts
@@ -1,5 +1,5 @@
 /**
- * Fingerprints that identify requests by content, since a repeated request has a new ID.
+ * Fingerprints that identify requests by content, since a repeated request has a new id.
  *
  * @module
  */
--- a/relay/_relay_response_reader.ts
+++ b/relay/_relay_response_reader.ts
@@ -8,7 +8,7 @@
 import { RelayFrameReader } from "./relay_frames.js";
 import { type RelayRequest, servicesOf } from "./relay_request.js";
 
-/** Receives the results of a relay request. */
+/** Receives the parts of a relay request. */
 export interface RelayListener {
   onParts(parts: RelayedParts): void;
   /** Called once when no more parts will arrive. */
--- a/relay/relay_request.ts
+++ b/relay/relay_request.ts
@@ -52,7 +52,7 @@
  * relaying box.
  */
 const REQUEST_FIELDS = [
-  z.string(), // request ID
+  z.string(), // request id
   z.string(), // method
   z.string(), // path
   z.array(z.string()).check(z.refine((headers) => headers.length % 2 === 0)),
@@ -64,7 +64,7 @@
 const SEPARATE_FIELDS = z.tuple([
   z.literal("separate"),
   ...REQUEST_FIELDS,
-  z.array(z.string()), // leaf IDs, one per service
+  z.array(z.string()), // leaf ids, one per service
   z.string(), // minimum record
 ]);
 const RELAY_REQUEST_FIELDS = z.union([MERGED_FIELDS, SEPARATE_FIELDS]);
--- a/request/_attempts.ts
+++ b/request/_attempts.ts
@@ -274,8 +274,8 @@
   if (isTrial) {
     context.beginTrial();
   }
-  // A relaying box decides by its own quarantine state, so the probe could not be guaranteed to be
-  // the only call.
+  // A relaying box decides by its own quarantine state, so a trial call could not be guaranteed
+  // to be the only one.
   const relayPlace = isTrial ? undefined : leaf.relayPlace;
   const attempt: Attempt = {
     attemptId,
--- a/request/_completion.ts
+++ b/request/_completion.ts
@@ -11,7 +11,7 @@
 
 /**
  * Retry delay for a request that could not be sent to any leaf, in milliseconds. Leaf entries that
- * expired while the store was unreachable are back within two seconds.
+ * expired while the store was unreachable reappear within two seconds.
  */
 const NO_LEAF_RETRY_MS = 500;
 
--- a/request/_plan.ts
+++ b/request/_plan.ts
@@ -1,6 +1,6 @@
 /**
- * Plans the first calls of a request. Leafs near this box are called directly. Leafs in another
- * data centre or region are called through one box there, which merges their parts to save
+ * Plans the first calls of a request. Leafs of this data centre are called directly. Leafs of
+ * another data centre or region are called through one box there, which merges their parts to save
  * bandwidth.
  *
  * @module
@@ -65,7 +65,7 @@
   return { direct, relays, unserved };
 }
 
-/** A shard without a leaf nearby, and its candidate leafs, best first. */
+/** A shard that is better called through a box elsewhere, and its candidate leafs, best first. */
 interface RemoteShard {
   readonly shardIndex: number;
   readonly choices: ReadonlyArray<LeafChoice>;
--- a/request/_refusals.ts
+++ b/request/_refusals.ts
@@ -26,7 +26,7 @@
  * @param plan - The first calls.
  * @param state - The request.
  * @param context - Records the queues for later queries.
- * @returns The expected queue waits, and the maximum that the request accepts.
+ * @returns The expected queueing delays, and the maximum that the request accepts.
  */
 export function queueLoadOf(
   plan: CallPlan,
--- a/request/_request_driver.ts
+++ b/request/_request_driver.ts
@@ -48,7 +48,7 @@
   /** Suffixes of the ids of leafs in another region; "a" if `remote` is set, otherwise none. */
   readonly remoteLeafs?: ReadonlyArray<string>;
   readonly finishShare?: number;
-  /** Expected queue wait at each service's leafs, in milliseconds; 0 by default. */
+  /** Expected queueing delay at each service's leafs, in milliseconds; 0 by default. */
   readonly queueMs?: Readonly<Record<string, number>>;
   /** How the first call may be made; unrestricted by default. */
   readonly permission?: CallPermission;
@@ -67,7 +67,7 @@
   state: RequestState;
   effects: ReadonlyArray<RequestEffect> = [];
   nowMs = 0;
-  /** Idle time of the event loop; `nowMs` by default. */
+  /** Event-loop idle time; `nowMs` by default. */
   eventLoopIdleMs: number | undefined;
   extraCalls: number;
   readonly remoteLeafs: ReadonlyArray<string>;
@@ -80,7 +80,7 @@
   /** Whether another region has an available box. */
   hasBox = true;
   /**
-   * How the next call may be made. Deferred from the start of a probe call until a test changes it.
+   * How the next call may be made. Deferred from the start of a trial call until a test changes it.
    */
   permission: CallPermission;
 
--- a/request/blocked_query_test.ts
+++ b/request/blocked_query_test.ts
@@ -40,20 +40,20 @@
   t.same(retryDeferred(driver), ["s2-a", "s3-a", "s4-a"]);
 });
 
-t.test("calls deferred by a probe are not extra calls", async (t) => {
+t.test("calls deferred by a trial call are not extra calls", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { permission: "exclusive", extraCalls: 0 });
   driver.permission = "unrestricted";
   driver.endAttempt(1, answered(200, "x"));
   t.equal(retryDeferred(driver).length, 3);
 });
 
-t.test("a probe is sent to its leaf directly, not through a box near it", async (t) => {
+t.test("a trial call is sent to its leaf directly, not through a box near it", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { permission: "exclusive", remote: true });
   t.same(calledLeafIds(driver.effects), ["s1-a"]);
   t.notOk(driver.effects.some(({ kind }) => kind === "relay" || kind === "relaySeparately"));
 });
 
-t.test("a suspected query is deferred while another request probes it", async (t) => {
+t.test("a suspected query is deferred during a trial call of another request", async (t) => {
   const driver = new RequestDriver(GATHER_MANY, { permission: "deferred" });
   t.same(calledLeafIds(driver.effects), []);
   t.equal(replyOf(driver.effects), undefined);
@@ -66,7 +66,7 @@
   t.equal(calledLeafIds(driver.effects).length, 4);
   driver.permission = "exclusive";
   t.same(calledLeafIds(driver.endAttempt(1, CRASHED)), ["s1-b"]);
-  t.same(calledLeafIds(driver.endAttempt(2, CRASHED)), [], "a probe is in flight");
+  t.same(calledLeafIds(driver.endAttempt(2, CRASHED)), [], "a trial call is in flight");
   t.same(calledLeafIds(driver.endAttempt(3, CRASHED)), []);
 });
 
@@ -91,8 +91,8 @@
 });
 
 t.test("a suspected non-repeatable request to a single leaf is sent once or refused", async (t) => {
-  const probing = new RequestDriver(NON_REPEATABLE, { permission: "exclusive" });
-  t.same(calledLeafIds(probing.effects), ["s1-a"]);
+  const trial = new RequestDriver(NON_REPEATABLE, { permission: "exclusive" });
+  t.same(calledLeafIds(trial.effects), ["s1-a"]);
   const deferred = new RequestDriver(NON_REPEATABLE, { permission: "deferred" });
   t.match(
     replyOf(deferred.effects),
--- a/request/mod.ts
+++ b/request/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The state machine of one caller's request: which leafs are called, when calls are repeated, and
- * what is replied.
+ * The state machine of one caller's request: which leafs are called, when calls are hedged or
+ * retried, and what is replied.
  *
  * @module
  */
--- a/request/request_state.ts
+++ b/request/request_state.ts
@@ -47,7 +47,7 @@
    * still follow.
    */
   readonly failed: ReadonlyMap<string, FailedPart>;
-  /** Queue wait at the leafs near the box, in milliseconds; reported with the first parts. */
+  /** Queueing delay at the leafs near the box, in milliseconds; reported with the first parts. */
   readonly queueMs?: number;
 }
 
@@ -78,7 +78,7 @@
   /** Id of the leaf or box that was called. */
   readonly calledId: string;
   readonly startedAtMs: number;
-  /** Idle time of the event loop at the start, in milliseconds. */
+  /** Event-loop idle time at the start, in milliseconds. */
   readonly startedAtIdleMs: number;
   /** Expected time to an answer, in milliseconds. */
   readonly expectedMs: number;
@@ -127,7 +127,7 @@
 
 /** Immutable properties of a request. */
 export interface RequestTerms {
-  /** Id that the caller gave the request. */
+  /** Id that the caller assigned to the request. */
   readonly requestId: string;
   readonly route: Route;
   readonly arrivedAtMs: number;
@@ -138,7 +138,7 @@
   /** Maximum attempts for each shard, as policy and route allow. */
   readonly maxAttempts: number;
   /**
-   * Maximum expected queue wait at leafs, in milliseconds. With longer queues the request would
+   * Maximum expected queueing delay at leafs, in milliseconds. With longer queues the request would
    * likely miss its latency objective.
    */
   readonly maxQueueMs: number;
@@ -215,7 +215,7 @@
       /** Location of a box through which the leaf is better called, if any. */
       readonly relayPlace: string | undefined;
       readonly deadlineAtMs: number;
-      /** Whether it is the only call of a suspected query in flight. */
+      /** Whether it is a trial call, the only call of a suspected query in flight. */
       readonly isTrial: boolean;
     }
   /** Calls remote leafs through one box near them. Each part is returned separately. */
@@ -274,7 +274,7 @@
   readonly expectedMs: number;
   /** Location of a box through which the leaf is better called, if any. */
   readonly relayPlace: string | undefined;
-  /** Expected queue wait at the leaf, in milliseconds. */
+  /** Expected queueing delay at the leaf, in milliseconds. */
   readonly queueMs: number;
   /** Expected failure rate of calls to the leaf, 0 to 1. */
   readonly failureRate: number;
@@ -291,8 +291,7 @@
 export interface RequestContext {
   readonly nowMs: number;
   /**
-   * Total idle time of the event loop, in milliseconds: a clock that stops while this process is
-   * stalled.
+   * Event-loop idle time, in milliseconds: a clock that stops while this process is busy.
    */
   readonly eventLoopIdleMs: number;
   /** Selects the leaf to call next, or `undefined` if all candidates are excluded. */
@@ -300,12 +299,12 @@
   /** Selects a box at a location to call through, or `undefined` if none is available. */
   chooseBox(relayPlace: string): BoxChoice | undefined;
   /**
-   * Records the queue wait at the leafs of an index, by which later queries are judged as well.
+   * Records the queueing delay at the leafs of an index, by which later queries are judged as well.
    *
    * @param index - Identifies the index: its first shard.
-   * @param queueMs - Queue wait that almost half of the query's calls would have at least, in
+   * @param queueMs - Queueing delay that almost half of the query's calls would have at least, in
    *   milliseconds.
-   * @returns The persistent queue wait: the minimum of the recent samples, in milliseconds.
+   * @returns The persistent queueing delay: the minimum of the recent samples, in milliseconds.
    */
   recordQueue(index: string, queueMs: number): number;
   /** Charges an extra call to the service's budget, if the budget allows it. */
@@ -314,7 +313,7 @@
   extraCallsLeft(service: string): number;
   /** Returns how the next call may be made, as the query may have crashed leafs. */
   permission(): CallPermission;
-  /** Claims the only call that may be in flight. */
+  /** Begins a trial call, the only call of the query that may be in flight. */
   beginTrial(): void;
   /** Returns the retry delay for a blocked query, in milliseconds. */
   blockedForMs(): number;
--- a/routing/route_table.ts
+++ b/routing/route_table.ts
@@ -13,7 +13,7 @@
   /** Routes of each host, longest prefix first. */
   readonly routesByHost: ReadonlyMap<string, ReadonlyArray<Route>>;
   readonly termsByService: ReadonlyMap<string, ServiceTerms>;
-  /** Maximum expected queue wait at leafs, in milliseconds, by the route's name. */
+  /** Maximum expected queueing delay at leafs, in milliseconds, by the route's name. */
   readonly queueAllowancesMs: ReadonlyMap<string, number>;
 }
 
--- a/settings/parse_settings.ts
+++ b/settings/parse_settings.ts
@@ -27,8 +27,8 @@
 }
 
 /**
- * Parses settings. A flag takes precedence over its environment variable, which takes precedence over the
- * fallback.
+ * Parses settings. A flag takes precedence over its environment variable, which takes precedence
+ * over the fallback.
  *
  * @param specs - Specifications of the settings.
  * @param source - Arguments and environment.
@@ -140,8 +140,8 @@
 }
 
 /**
- * Parses the settings of this process. Exits with code 0 after printing help, and with code 2 after printing a
- * line for each error.
+ * Parses the settings of this process. Exits with code 0 after printing help, and with code 2 after
+ * printing a line for each error.
  *
  * @param usage - First line of the help.
  * @param specs - Specifications of the settings.
--- a/telemetry/box_telemetry_test.ts
+++ b/telemetry/box_telemetry_test.ts
@@ -13,7 +13,8 @@
   const folder = mkdtempSync(join(tmpdir(), "rackvale-log-"));
   const path = join(folder, "log");
   spawnSync("mkfifo", [path]);
-  // Opened for reading as well, because opening for writing only would block until there is a reader.
+  // Opened for reading as well, because opening for writing only would block until there is a
+  // reader.
   const logFd = openSync(path, constants.O_RDWR);
   return {
     folder,
--- a/telemetry/run_telemetry.ts
+++ b/telemetry/run_telemetry.ts
@@ -1,5 +1,6 @@
 /**
- * Writes the telemetry effects of the state machines: log lines with bunyan, metrics with hot-shots.
+ * Writes the telemetry effects of the state machines: log lines with bunyan, metrics with
+ * hot-shots.
  *
  * @module
  */
