--- a/compare/run_comparison_test.ts
+++ b/compare/run_comparison_test.ts
@@ -63,7 +63,7 @@
   },
 );
 
-t.test("parseComparison() rejects a single way, an invalid field and invalid TOML", async (t) => {
+t.test("parseComparison() rejects a single variant, invalid fields and TOML", async (t) => {
   const one = 'decision = "d"\ndays = ["a"]\n[ways]\na = "."\n[sites]\ns = "s"\n';
   t.match(parseComparison(one)._unsafeUnwrapErr(), /two ways/);
   t.match(parseComparison(`jobs = 90\n${one}`)._unsafeUnwrapErr(), /"jobs"/);
@@ -71,7 +71,7 @@
 });
 
 t.test(
-  "runComparison() pairs ways on the same days and resumes after an interruption",
+  "runComparison() pairs variants on the same days and resumes after an interruption",
   async (t) => {
     const folder = mkdtempSync(join(tmpdir(), "rackvale-compare-"));
     t.teardown(() => rmSync(folder, { recursive: true }));
