--- a/soak/soak_control.ts
+++ b/soak/soak_control.ts
@@ -14,7 +14,7 @@
 const PLATFORM_POLL_INTERVAL_MS = 200;
 
 type Node = EntryNode | PoolNode;
-type Deliver = (make: (nowMs: number) => ControlEvent) => void;
+type Deliver = (createEvent: (nowMs: number) => ControlEvent) => void;
 type HandledEffect = Exclude<ControlEffect, { readonly kind: "setTimer" | "count" | "timing" }>;
 
 type Handlers = {
--- a/standins/fleet.ts
+++ b/standins/fleet.ts
@@ -115,7 +115,7 @@
     const backendBoxes = this.#backendBoxes.map(({ box, dataCentre }) => {
       return { box, dataCentre, address: LOOPBACK, leaving: this.#leaving.has(box) };
     });
-    await this.steer(this.platform, "/admin/boxes", [...rackvaleBoxes, ...backendBoxes]);
+    await this.callAdmin(this.platform, "/admin/boxes", [...rackvaleBoxes, ...backendBoxes]);
   }
 
   /**
@@ -188,7 +188,7 @@
     const started = await Promise.all(
       this.backends.map((backend, index) => {
         const assigned = leafs.filter((_, leaf) => leaf % this.backends.length === index);
-        return this.steer(backend, "/admin/leafs", assigned);
+        return this.callAdmin(backend, "/admin/leafs", assigned);
       }),
     );
     return Object.assign({}, ...started) as Readonly<Record<string, number>>;
@@ -238,7 +238,7 @@
    */
   async changeLeafs(prefix: string, options: Partial<LeafStandinOptions>): Promise<void> {
     await Promise.all(
-      this.backends.map((backend) => this.steer(backend, "/admin/change", { prefix, options })),
+      this.backends.map((backend) => this.callAdmin(backend, "/admin/change", { prefix, options })),
     );
   }
 
@@ -248,7 +248,7 @@
    * @param faults - Faults to change.
    */
   async setPlatformFaults(faults: Partial<PlatformFaults>): Promise<void> {
-    await this.steer(this.platform, "/admin/faults", faults);
+    await this.callAdmin(this.platform, "/admin/faults", faults);
   }
 
   /**
@@ -258,7 +258,7 @@
    * @returns Response bodies, one for each backend process.
    */
   async askBackends(path: string): Promise<ReadonlyArray<unknown>> {
-    return Promise.all(this.backends.map((backend) => this.steer(backend, path, {})));
+    return Promise.all(this.backends.map((backend) => this.callAdmin(backend, path, {})));
   }
 
   /**
@@ -269,7 +269,7 @@
    * @param body - Request body.
    * @returns Body of the response.
    */
-  async steer(standin: FleetProcess, path: string, body: unknown): Promise<unknown> {
+  async callAdmin(standin: FleetProcess, path: string, body: unknown): Promise<unknown> {
     const response = await postJson(`http://${LOOPBACK}:${standin.ports.port}${path}`, body);
     return response.body;
   }
--- a/standins/sample_services.ts
+++ b/standins/sample_services.ts
@@ -151,7 +151,7 @@
     connectCostMs: shape.connectCostMs,
     serviceTimeMs: shape.serviceTimeMs,
     stragglers: { share: 0, factor: 1 },
-    holdings: holdingsOf(shardMap, leafId),
+    holdings: servedShards(shardMap, leafId),
     rowsPerShard: shape.rowsPerShard,
     seed,
     state: "ready",
@@ -167,7 +167,7 @@
  * @param leafId - Id of the leaf.
  * @returns Shards by snapshot.
  */
-export function holdingsOf(
+export function servedShards(
   shardMap: ShardMap,
   leafId: string,
 ): Readonly<Record<string, ReadonlyArray<string>>> {
