--- a/bench/standby_cost.ts
+++ b/bench/standby_cost.ts
@@ -48,7 +48,7 @@
 const DATAGRAM_PORT = 7380;
 const READINESS_PORT = 8108;
 
-/** Data centres by region. */
+/** Region of each data centre. */
 const REGIONS: Readonly<Record<string, string>> = { a: "north", b: "south", c: "east" };
 
 /** Time before the measurement in which the box discovers the others, in milliseconds. */
--- a/soak/soak_services.ts
+++ b/soak/soak_services.ts
@@ -111,7 +111,7 @@
   }
 
   /**
-   * Submits concurrent changes of a service's configuration that are based on the same revision.
+   * Submits several changes of a service's configuration at the same time.
    *
    * @param service - Name of the service.
    * @param operators - Number of operators.
