--- a/cluster_state/leaf_registry.ts
+++ b/cluster_state/leaf_registry.ts
@@ -149,7 +149,7 @@
       }
     }
     if (unreadable.length > 0) {
-      this.#options.telemetry.event("warn", "leafs: entries that cannot be read are ignored", {
+      this.#options.telemetry.event("warn", "leafs: entries that cannot be read are passed over", {
         count: unreadable.length,
         leafIds: unreadable
           .slice(0, MAX_LOGGED_LEAFS)
--- a/cluster_state/unreadable_entry_test.ts
+++ b/cluster_state/unreadable_entry_test.ts
@@ -71,7 +71,7 @@
   const { registry, lines } = makeRegistry();
   const changed = Array.from({ length: 100 }, (_, index) => entry(`x-${index}`, 11, UNREADABLE));
   registry.applyChanges({ changed, removed: [], revision: 11 });
-  const ignoredLines = lines.filter(({ text }) => text.includes("cannot be read are ignored"));
+  const ignoredLines = lines.filter(({ text }) => text.includes("cannot be read are passed over"));
   t.equal(ignoredLines.length, 1);
   t.match(ignoredLines[0]?.fields, { count: 100 });
   t.ok(JSON.stringify(ignoredLines).length < 1_500, "the length of the line is bounded");
