--- a/box/_relay_requests.ts
+++ b/box/_relay_requests.ts
@@ -1,5 +1,6 @@
 /**
- * Relays leaf calls of one request through other boxes and turns their responses into events of the request.
+ * Relays leaf calls of one request through other boxes and turns their responses into events of the
+ * request.
  *
  * @module
  */
@@ -18,7 +19,7 @@
 import type { ForwardedRequest } from "./_runner_options.js";
 
 type RelayEffect = Extract<RequestEffect, { readonly kind: "relay" }>;
-type AskThroughEffect = Extract<RequestEffect, { readonly kind: "askThrough" }>;
+type RelaySeparatelyEffect = Extract<RequestEffect, { readonly kind: "relaySeparately" }>;
 
 /** Options of {@link RelayRequests}. */
 export interface RelayRequestsOptions {
@@ -37,14 +38,14 @@
   readonly onEnded: (attemptId: number) => void;
 }
 
-const MISSING_RESULT = failedPartOutcome("failed");
+const MISSING_PART = failedPartOutcome("failed");
 
-/** Result recorded for the call to a leaf, by the reason for which its shard's result is missing. */
+/** Result recorded for the call to a leaf, by the reason for which its shard's part is missing. */
 const FAILED_CALL_RESULTS = {
   declined: "full",
   refused: "full",
   failed: "failed",
-  "connection lost": "failed",
+  "connection closed": "failed",
   blocked: "abandoned",
 } as const;
 
@@ -60,7 +61,7 @@
   }
 
   /**
-   * Requests the merged result of several shards from a box close to their leafs.
+   * Requests the merged parts of several shards from a box near their leafs.
    *
    * @param effect - The shards and the time for which the box may wait for them.
    */
@@ -86,18 +87,18 @@
         for (const record of recorders.values()) {
           record("failed");
         }
-        dispatch({ kind: "attemptEnded", attemptId, outcome: MISSING_RESULT });
+        dispatch({ kind: "attemptEnded", attemptId, outcome: MISSING_PART });
       },
     });
     onOpen(attemptId, open);
   }
 
   /**
-   * Requests the separate results of given leafs through a box.
+   * Requests the separate parts of given leafs through a box.
    *
    * @param effect - The leafs and the top-k threshold of records to return.
    */
-  sendSeparate({ box, calls, minRecord, deadlineAtMs }: AskThroughEffect): void {
+  sendSeparate({ box, calls, minRecord, deadlineAtMs }: RelaySeparatelyEffect): void {
     const { onEnded, onOpen, dispatch } = this.#options;
     const recorders = this.#createRecorders(calls);
     const pending = new Map(calls.map(({ service, attemptId }) => [service, attemptId]));
@@ -136,7 +137,7 @@
           record("failed");
         }
         for (const service of [...pending.keys()]) {
-          end(service, MISSING_RESULT);
+          end(service, MISSING_PART);
         }
       },
     });
@@ -171,7 +172,7 @@
     calls: ReadonlyArray<{ readonly service: string; readonly leafId: string }>,
   ): CallRecorders {
     return new Map(
-      calls.map(({ service, leafId }) => [service, this.#options.calls.noteRelayed(leafId)]),
+      calls.map(({ service, leafId }) => [service, this.#options.calls.recordRelayedCall(leafId)]),
     );
   }
 
@@ -183,7 +184,7 @@
       quarantine.recordAnswer(fingerprint);
     }
     for (const reason of failed.values()) {
-      if (reason === "connection lost") {
+      if (reason === "connection closed") {
         quarantine.recordCrash({ fingerprint, isTrial: false });
       } else if (reason === "blocked") {
         quarantine.applyRemoteBlock(fingerprint);
@@ -207,4 +208,4 @@
 }
 
 /** Functions by service that record how the call to its leaf ended. */
-type CallRecorders = ReadonlyMap<string, ReturnType<LeafCalls["noteRelayed"]>>;
+type CallRecorders = ReadonlyMap<string, ReturnType<LeafCalls["recordRelayedCall"]>>;
--- a/fault_soak/fault_handlers.ts
+++ b/fault_soak/fault_handlers.ts
@@ -1,39 +1,50 @@
 /**
- * Brings each kind of fault about, from outside the programs, and ends it again.
+ * Injects each kind of fault from outside the programs, and removes it again.
  *
  * @module
  */
 import { MALFORMED_ENTRIES } from "../platform/standin/mod.js";
-import { pause } from "../standins/waiting.js";
+import { delay } from "../standins/waiting.js";
 import type { FaultKind, PlannedFault } from "./fault_plan.js";
-import { ENDS_LEAFS, HOST, type SoakBox, type SoakFleet, type SoakLeaf } from "./soak_fleet.js";
+import {
+  CRASHING_PATH_PART,
+  HOST,
+  type SoakBox,
+  type SoakFleet,
+  type SoakLeaf,
+} from "./soak_fleet.js";
 
 /**
- * Brings a fault about and ends it; tells whether it could happen at all.
+ * Injects a fault and removes it after its duration.
  *
  * @param soak - The programs.
  * @param fault - The fault.
+ * @returns Whether the fault was applicable.
  */
 type FaultHandler = (soak: SoakFleet, fault: PlannedFault) => Promise<boolean>;
 
-/** Delay of a slow link and of a slow store, in milliseconds. */
-const SLOW_MS = { link: 120, store: 400 } as const;
+/** Delays of a slow link and of a slow store, in milliseconds. */
+const DELAY_MS = { link: 120, store: 400 } as const;
 
-/** How often a query that ends leafs comes to each box. */
-const CRASHING_ROUNDS = 4;
+/** Number of times that a crash-inducing query is sent to each box. */
+const CRASHING_QUERY_ROUNDS = 4;
 
-/** Time that the store is away before it comes back older, and until all is written again, in milliseconds. */
-const AWAY_MS = 200;
-const WRITE_AGAIN_MS = 700;
+/** Time for which the store is down while it is restored from a backup, in milliseconds. */
+const RESTORE_DOWNTIME_MS = 200;
 
-/** Data centres that are emptied, one at a time, and for how long at least, in milliseconds. */
+/** Time from then until the missing entries are written again, in milliseconds. */
+const REWRITE_DELAY_MS = 700;
+
+/** Data centres that may be evacuated, one at a time. */
 const DATA_CENTRES = ["hall-a", "hall-b"] as const;
-const EMPTY_MS = 4_000;
 
-/** Time that a leaf that drains serves on, in milliseconds. */
+/** Minimum time of an evacuation, in milliseconds. */
+const MIN_EVACUATION_MS = 4_000;
+
+/** Time for which a draining leaf continues to serve, in milliseconds. */
 const DRAIN_MS = 3_500;
 
-/** Kinds that keep boxes from the store or from running, so that bounds on time begin anew after them. */
+/** Kinds that stop boxes or separate them from the store, and so extend deadlines. */
 export const DISTURBING_KINDS: ReadonlySet<FaultKind> = new Set([
   "storeSilent",
   "storeDown",
@@ -48,95 +59,95 @@
   "boxStopped",
 ]);
 
-/** What brings each kind about. */
+/** Handlers by kind of fault. */
 export const FAULT_HANDLERS: Readonly<Record<FaultKind, FaultHandler>> = {
   leafDelayed: onLeaf(async ({ link }, forMs) => {
-    link.harm({ delayMs: SLOW_MS.link });
-    await pause(forMs);
-    link.heal();
+    link.injectFault({ delayMs: DELAY_MS.link });
+    await delay(forMs);
+    link.clearFaults();
   }),
   leafReset: onLeaf(async ({ link }, forMs) => {
     link.reset();
-    await pause(forMs / 2);
+    await delay(forMs / 2);
     link.reset();
   }),
   leafCutOneWay: onLeaf(async ({ link }, forMs) => {
-    link.harm({ holdsAnswers: true });
-    await pause(forMs);
-    link.heal();
+    link.injectFault({ blocksResponses: true });
+    await delay(forMs);
+    link.clearFaults();
   }),
   leafSilent: onLeaf(async ({ link }, forMs) => {
-    link.harm({ holdsAnswers: true, holdsRequests: true });
-    await pause(forMs);
-    link.heal();
+    link.injectFault({ blocksResponses: true, blocksRequests: true });
+    await delay(forMs);
+    link.clearFaults();
   }),
-  leafConnectionsSilent: onLeaf(async ({ link }) => link.silence()),
+  leafConnectionsSilent: onLeaf(async ({ link }) => link.stallOpenConnections()),
   leafFull: onLeaf(async ({ leaf }, forMs) => {
     leaf.configure({ full: true });
-    await pause(forMs);
+    await delay(forMs);
     leaf.configure({ full: false });
   }),
   leafFails: onLeaf(async ({ leaf }, forMs) => {
     leaf.configure({ statusCode: 500 });
-    await pause(forMs);
+    await delay(forMs);
     leaf.configure({ statusCode: 200 });
   }),
   leafReplaced: async (soak, { target }) => {
-    const old = pick(
+    const replaced = pick(
       soak.leafs.filter(({ drainingSinceMs }) => drainingSinceMs === Number.POSITIVE_INFINITY),
       target,
     );
-    if (old === undefined) {
+    if (replaced === undefined) {
       return false;
     }
-    await soak.addLeaf(old.service, old.dataCentre);
-    old.drainingSinceMs = performance.now();
-    old.leaf.drain();
-    await pause(DRAIN_MS);
-    soak.leafs.splice(soak.leafs.indexOf(old), 1);
+    await soak.addLeaf(replaced.service, replaced.dataCentre);
+    replaced.drainingSinceMs = performance.now();
+    replaced.leaf.drain();
+    await delay(DRAIN_MS);
+    soak.leafs.splice(soak.leafs.indexOf(replaced), 1);
     return true;
   },
   leafRestarted: async (soak, { target, forMs }) => {
-    const old = pick(
+    const replaced = pick(
       soak.leafs.filter(({ drainingSinceMs }) => drainingSinceMs === Number.POSITIVE_INFINITY),
       target,
     );
-    if (old === undefined) {
+    if (replaced === undefined) {
       return false;
     }
-    soak.leafs.splice(soak.leafs.indexOf(old), 1);
-    old.hasEnded = true;
-    old.leaf.crash();
-    await pause(forMs / 4);
-    await soak.addLeaf(old.service, old.dataCentre, { leafId: old.leaf.leafId });
+    soak.leafs.splice(soak.leafs.indexOf(replaced), 1);
+    replaced.hasEnded = true;
+    replaced.leaf.crash();
+    await delay(forMs / 4);
+    await soak.addLeaf(replaced.service, replaced.dataCentre, { leafId: replaced.leaf.leafId });
     return true;
   },
   strangeEntries: async ({ fleet }, { target, forMs }) => {
     for (const [index, spec] of MALFORMED_ENTRIES.entries()) {
       fleet.platform.put("servers", `strange-${target}-${index}`, spec);
     }
-    await pause(forMs);
+    await delay(forMs);
     for (const index of MALFORMED_ENTRIES.keys()) {
       fleet.platform.remove("servers", `strange-${target}-${index}`);
     }
     return true;
   },
   crashingQuery: async ({ boxes, fleet }, { target, forMs }) => {
-    const path = `/sweep/?${ENDS_LEAFS}${target}`;
-    for (let round = 1; round <= CRASHING_ROUNDS; round++) {
+    const path = `/sweep/?${CRASHING_PATH_PART}${target}`;
+    for (let round = 1; round <= CRASHING_QUERY_ROUNDS; round++) {
       for (const [index, { box }] of boxes.entries()) {
         const requestId = `crashing-${target}-${round}-${index}`;
         await fleet.sendRequest(box, { path, requestId, host: HOST }).catch(() => undefined);
       }
-      await pause(forMs);
+      await delay(forMs);
     }
     return true;
   },
   storeSilent: onStore("silent"),
   storeDown: onStore("down"),
   storeSlow: async ({ fleet }, { forMs }) => {
-    fleet.platform.setFaults({ delayMs: SLOW_MS.store });
-    await pause(forMs);
+    fleet.platform.setFaults({ delayMs: DELAY_MS.store });
+    await delay(forMs);
     fleet.platform.setFaults({ delayMs: 0 });
     return true;
   },
@@ -146,65 +157,67 @@
   },
   storeOlder: async (soak, { forMs }) => {
     const { platform } = soak.fleet;
-    const copied = platform.revision();
-    await pause(forMs);
+    const copiedRevision = platform.revision();
+    await delay(forMs);
     platform.setFaults({ mode: "down" });
-    platform.restore(copied);
-    await pause(AWAY_MS);
+    platform.restore(copiedRevision);
+    await delay(RESTORE_DOWNTIME_MS);
     platform.setFaults({ mode: "up" });
-    await pause(WRITE_AGAIN_MS);
-    soak.writeAgain();
+    await delay(REWRITE_DELAY_MS);
+    soak.rewriteEntries();
     return true;
   },
   dataCentreEmptied: async (soak, { target, forMs }) => {
     const dataCentre = pick(DATA_CENTRES, target);
-    const isEmpty = soak.evacuations.some(({ untilMs }) => untilMs === Number.POSITIVE_INFINITY);
-    if (dataCentre === undefined || isEmpty) {
+    const isEvacuating = soak.evacuations.some(
+      ({ untilMs }) => untilMs === Number.POSITIVE_INFINITY,
+    );
+    if (dataCentre === undefined || isEvacuating) {
       return false;
     }
     const evacuation = soak.evacuate(dataCentre);
-    await pause(EMPTY_MS + forMs);
+    await delay(MIN_EVACUATION_MS + forMs);
     soak.endEvacuation(evacuation);
     return true;
   },
   boxCutFromStore: async ({ boxes }, { target, forMs }) => {
-    const hit = pick(boxes, target);
-    hit?.storeLink.harm({ holdsAnswers: true, holdsRequests: true });
-    await pause(forMs);
-    hit?.storeLink.heal();
-    hit?.storeLink.reset();
-    return hit !== undefined;
+    const chosen = pick(boxes, target);
+    chosen?.storeLink.injectFault({ blocksResponses: true, blocksRequests: true });
+    await delay(forMs);
+    chosen?.storeLink.clearFaults();
+    chosen?.storeLink.reset();
+    return chosen !== undefined;
   },
   storeConnectionsSilent: async (soak, { target }) => {
-    const hit = pick(soak.boxes, target);
-    hit?.storeLink.silence();
+    const chosen = pick(soak.boxes, target);
+    chosen?.storeLink.stallOpenConnections();
     soak.changeConfiguration();
-    return hit !== undefined;
+    return chosen !== undefined;
   },
   allStoreConnectionsSilent: async (soak) => {
     for (const { storeLink } of soak.boxes) {
-      storeLink.silence();
+      storeLink.stallOpenConnections();
     }
     soak.changeConfiguration();
     return true;
   },
   boxPaused: onBox(async ({ box }, forMs) => {
     box.process.signal("SIGSTOP");
-    await pause(forMs);
+    await delay(forMs);
     box.process.signal("SIGCONT");
   }),
-  boxKilled: onBox(async (hit, forMs, { fleet }) => {
-    hit.box.process.signal("SIGKILL");
-    await pause(forMs / 4);
-    await fleet.restart(hit.box);
-    hit.life += 1;
+  boxKilled: onBox(async (chosen, forMs, { fleet }) => {
+    chosen.box.process.signal("SIGKILL");
+    await delay(forMs / 4);
+    await fleet.restart(chosen.box);
+    chosen.incarnation += 1;
   }),
-  boxStopped: onBox(async (hit, _forMs, { fleet }) => {
-    hit.isStopping = true;
-    hit.box.process.signal("SIGTERM");
-    await fleet.restart(hit.box);
-    hit.life += 1;
-    hit.isStopping = false;
+  boxStopped: onBox(async (chosen, _forMs, { fleet }) => {
+    chosen.isStopping = true;
+    chosen.box.process.signal("SIGTERM");
+    await fleet.restart(chosen.box);
+    chosen.incarnation += 1;
+    chosen.isStopping = false;
   }),
   configurationChanged: async (soak) => {
     soak.changeConfiguration();
@@ -216,41 +229,44 @@
   return candidates[target % Math.max(1, candidates.length)];
 }
 
-function onLeaf(act: (hit: SoakLeaf, forMs: number) => Promise<void>): FaultHandler {
+/** Builds a handler for faults of a leaf or its link. */
+function onLeaf(act: (chosen: SoakLeaf, forMs: number) => Promise<void>): FaultHandler {
   return async ({ leafs }, { target, forMs }) => {
-    const hit = pick(leafs, target);
-    if (hit === undefined) {
+    const chosen = pick(leafs, target);
+    if (chosen === undefined) {
       return false;
     }
-    await act(hit, forMs);
+    await act(chosen, forMs);
     return true;
   };
 }
 
-/** The store takes what operators wanted to change meanwhile as soon as it is back. */
+/** Builds a handler for faults of the store; operators change the configuration as soon as it is reachable again. */
 function onStore(mode: "silent" | "down"): FaultHandler {
   return async (soak, { forMs }) => {
     soak.fleet.platform.setFaults({ mode });
-    await pause(forMs);
+    await delay(forMs);
     soak.fleet.platform.setFaults({ mode: "up" });
     soak.changeConfiguration();
     return true;
   };
 }
 
-/** A box is ended or paused by one fault at a time; its other faults may overlap with that. */
-function onBox(act: (hit: SoakBox, forMs: number, soak: SoakFleet) => Promise<void>): FaultHandler {
+/** Builds a handler for faults of a box's process, of which each box has only one at a time. */
+function onBox(
+  act: (chosen: SoakBox, forMs: number, soak: SoakFleet) => Promise<void>,
+): FaultHandler {
   return async (soak, { target, forMs }) => {
-    const hit = pick(
-      soak.boxes.filter(({ isHit }) => !isHit),
+    const chosen = pick(
+      soak.boxes.filter(({ hasProcessFault }) => !hasProcessFault),
       target,
     );
-    if (hit === undefined) {
+    if (chosen === undefined) {
       return false;
     }
-    hit.isHit = true;
-    await act(hit, forMs, soak);
-    hit.isHit = false;
+    chosen.hasProcessFault = true;
+    await act(chosen, forMs, soak);
+    chosen.hasProcessFault = false;
     return true;
   };
 }
--- a/leaf_access/leaf_access.ts
+++ b/leaf_access/leaf_access.ts
@@ -16,12 +16,12 @@
 
 /** What the decision depends on. */
 export interface LeafAccessOptions {
-  /** The current routes, or `undefined` before the first configuration. */
+  /** The current routes, or `undefined` if there is no configuration yet. */
   readonly routes: () => RouteTable | undefined;
   readonly regionOf: (dataCentre: string) => string;
   /** Data centres whose leafs may not be called. */
   readonly evacuated: () => ReadonlySet<string>;
-  readonly coldLeafs: Pick<ColdLeafs, "isCold" | "mayCall" | "noteSent">;
+  readonly coldLeafs: Pick<ColdLeafs, "isCold" | "mayCall" | "recordCallSent">;
   readonly quarantine: Pick<Quarantine, "permission">;
 }
 
@@ -32,7 +32,7 @@
   readonly routeKey: RouteKey;
   /** Identifies the query: equal for all requests with the same content. */
   readonly fingerprint: string;
-  /** Whether it is the only call of a suspected query in flight. */
+  /** Whether it is a trial call, the only call of a suspected query in flight. */
   readonly isTrial: boolean;
 }
 
@@ -102,8 +102,8 @@
    *
    * @param leaf - The leaf.
    */
-  noteSent(leaf: Leaf): void {
-    this.#options.coldLeafs.noteSent(leaf);
+  recordCallSent(leaf: Leaf): void {
+    this.#options.coldLeafs.recordCallSent(leaf);
   }
 
   /**
--- a/leafs/leaf_health.ts
+++ b/leafs/leaf_health.ts
@@ -13,11 +13,19 @@
   readonly sentAtIdleMs: number;
 }
 
-/** Health of one leaf as observed by this box. Also used for boxes that calls are relayed through. */
+/**
+ * Health of one leaf as observed by this box. Also used for boxes that calls are relayed through.
+ */
 export interface LeafHealth {
-  /** Mean latency of answered calls at normal speed, network included, in milliseconds; 0 before the first answer. */
+  /**
+   * Mean latency of answered calls at normal speed, network included, in milliseconds; 0 before the
+   * first answer.
+   */
   readonly meanMs: number;
-  /** Mean processing time without queueing, estimated from the reported load, in milliseconds; 0 if unknown. */
+  /**
+   * Mean processing time without queueing, estimated from the reported load, in milliseconds; 0 if
+   * unknown.
+   */
   readonly workMs: number;
   /** Calls of this box that the leaf has not answered yet. */
   readonly openCalls: ReadonlyArray<OpenLeafCall>;
@@ -57,7 +65,10 @@
   terminated: false,
 };
 
-/** Initial time for which a failing leaf is avoided, in milliseconds; doubles with each further failure. */
+/**
+ * Initial time for which a failing leaf is avoided, in milliseconds; doubles with each further
+ * failure.
+ */
 const INITIAL_AVOID_MS = 100;
 
 /** Weight of one call in the moving average of the failure rate. */
@@ -73,16 +84,16 @@
  * Records that a call was sent.
  *
  * @param health - Health before the call.
- * @param call - ID of the call and the current event-loop idle time, in milliseconds.
+ * @param call - Id of the call and the current event-loop idle time, in milliseconds.
  * @returns The updated health.
  */
 export function recordCallSent(
   health: LeafHealth,
-  { callId, waitedMs }: { readonly callId: number; readonly waitedMs: number },
+  { callId, eventLoopIdleMs }: { readonly callId: number; readonly eventLoopIdleMs: number },
 ): LeafHealth {
   return {
     ...health,
-    openCalls: [...health.openCalls, { callId, sentAtIdleMs: waitedMs }],
+    openCalls: [...health.openCalls, { callId, sentAtIdleMs: eventLoopIdleMs }],
   };
 }
 
@@ -123,7 +134,10 @@
   return END_HANDLERS[end.result](updated, end, tookMs / Math.max(1, factor ?? 1));
 }
 
-/** Updates the mean processing time. A queued call takes one turn for each full set of slots ahead of it. */
+/**
+ * Updates the mean processing time. A queued call takes one turn for each full set of slots ahead
+ * of it.
+ */
 function updateWorkMs(workMs: number, { reportedLoad, slots }: CallEnd, tookMs: number): number {
   if (reportedLoad === undefined || slots === undefined) {
     return workMs;
--- a/leafs/leaf_table.ts
+++ b/leafs/leaf_table.ts
@@ -1,5 +1,5 @@
 /**
- * Table of known leafs, indexed by ID and by service.
+ * Table of known leafs, indexed by id and by service.
  *
  * @module
  */
@@ -10,9 +10,14 @@
 export interface LeafTable {
   readonly byId: ReadonlyMap<string, Leaf>;
   readonly byService: ReadonlyMap<string, ReadonlyArray<Leaf>>;
-  /** Expiry times of leafs whose entry was deleted but may be restored, in milliseconds, by leaf ID. */
+  /**
+   * Times at which expired leafs are dropped, in milliseconds, by leaf id. Their entry is missing
+   * but may reappear.
+   */
   readonly expiresAtMs: ReadonlyMap<string, number>;
-  /** Last known state of recently removed leafs; a store restored from a backup may list them again. */
+  /**
+   * Last known state of recently removed leafs; a store restored from a backup may list them again.
+   */
   readonly recentlyRemoved?: ReadonlyMap<string, Leaf>;
 }
 
@@ -30,16 +35,20 @@
 export interface LeafChanges {
   /** New or modified entries; entries older than the known ones are ignored. */
   readonly changed: ReadonlyArray<Leaf>;
-  /** IDs of deleted entries. */
+  /** Ids of deleted entries. */
   readonly removed: ReadonlyArray<string>;
-  /** IDs of entries that exist but cannot be parsed; these leafs are dropped without a grace period. */
+  /**
+   * Ids of entries that exist but cannot be parsed; these leafs are dropped without a grace period.
+   */
   readonly unreadable?: ReadonlyArray<string>;
 }
 
 /** How removed entries are handled. */
 export interface RemovalOptions {
   readonly nowMs: number;
-  /** Grace period for a deleted entry to be restored, in milliseconds; 0 drops the leaf immediately. */
+  /**
+   * Time in which a missing entry may reappear, in milliseconds; 0 drops the leaf immediately.
+   */
   readonly graceMs: number;
 }
 
@@ -86,9 +95,10 @@
 }
 
 /**
- * Returns whether an entry is at least as recent as the known one. A store restored from a backup lists overwritten entries
- * at positions that count as later, so the leaf's own sequence number decides across eras. Otherwise a leaf that is
- * draining or has terminated would receive calls again.
+ * Returns whether an entry is at least as recent as the known one. A store restored from a backup
+ * lists overwritten entries at positions that count as later, so the leaf's own sequence number
+ * decides across eras. Otherwise a leaf that is draining or has terminated would receive calls
+ * again.
  */
 function isCurrent(
   entry: Leaf,
@@ -120,7 +130,7 @@
 
 /** How a complete list of entries is applied. */
 export interface LeafListOptions extends RemovalOptions {
-  /** IDs of listed entries that cannot be parsed; none by default. */
+  /** Ids of listed entries that cannot be parsed; none by default. */
   readonly unreadable?: ReadonlyArray<string>;
 }
 
@@ -129,7 +139,7 @@
  *
  * @param table - The current table.
  * @param listed - All entries that can be parsed.
- * @param options - IDs of unreadable entries, current time and grace period in milliseconds.
+ * @param options - Ids of unreadable entries, current time and grace period in milliseconds.
  * @returns The updated table.
  */
 export function applyLeafList(
--- a/relay/_relay_response_reader.ts
+++ b/relay/_relay_response_reader.ts
@@ -8,7 +8,7 @@
 import { RelayFrameReader } from "./relay_frames.js";
 import { type RelayRequest, servicesOf } from "./relay_request.js";
 
-/** Receives the results of a relay request. */
+/** Receives the parts of a relay request. */
 export interface RelayListener {
   onParts(parts: RelayedParts): void;
   /** Called once when no more parts will arrive. */
@@ -21,7 +21,10 @@
 export interface RelayObserver {
   /** Called once with the result of the request. */
   onResult(result: RelayResult): void;
-  /** Called with the queueing delay at the box's local leafs, in milliseconds, as reported in the first frame. */
+  /**
+   * Called with the queueing delay at the box's local leafs, in milliseconds, as reported in the
+   * first frame.
+   */
   onQueue(queueMs: number): void;
   /** Called once when the request has ended. */
   onEnded(): void;
--- a/relay/relay_request.ts
+++ b/relay/relay_request.ts
@@ -1,5 +1,6 @@
 /**
- * Wire format of relay requests: a deflated JSON array. Fields are identified by position to reduce traffic between regions.
+ * Wire format of relay requests: a deflated JSON array. Fields are identified by position to reduce
+ * traffic between regions.
  *
  * @module
  */
@@ -46,9 +47,12 @@
 /** A request from one box to another to call leafs. */
 export type RelayRequest = MergedRelayRequest | SeparateRelayRequest;
 
-/** Fields of a relay request, in this order. Validated so that a malformed request cannot crash the relaying box. */
+/**
+ * Fields of a relay request, in this order. Validated so that a malformed request cannot crash the
+ * relaying box.
+ */
 const REQUEST_FIELDS = [
-  z.string(), // request ID
+  z.string(), // request id
   z.string(), // method
   z.string(), // path
   z.array(z.string()).check(z.refine((headers) => headers.length % 2 === 0)),
@@ -60,7 +64,7 @@
 const SEPARATE_FIELDS = z.tuple([
   z.literal("separate"),
   ...REQUEST_FIELDS,
-  z.array(z.string()), // leaf IDs, one per service
+  z.array(z.string()), // leaf ids, one per service
   z.string(), // minimum record
 ]);
 const RELAY_REQUEST_FIELDS = z.union([MERGED_FIELDS, SEPARATE_FIELDS]);
--- a/request/_refusals.ts
+++ b/request/_refusals.ts
@@ -26,7 +26,7 @@
  * @param plan - The first calls.
  * @param state - The request.
  * @param context - Records the queues for later queries.
- * @returns The expected queue waits, and the maximum that the request accepts.
+ * @returns The expected queueing delays, and the maximum that the request accepts.
  */
 export function queueLoadOf(
   plan: CallPlan,
@@ -38,7 +38,7 @@
     return { mostQueueMs, queueMs: 0, standingMs: 0 };
   }
   const queueMs = queueQuantileMs(callsOf(plan).map(({ leaf }) => leaf.queueMs));
-  const standingMs = context.noteQueue(shards[0]?.service ?? "", queueMs);
+  const standingMs = context.recordQueue(shards[0]?.service ?? "", queueMs);
   return { mostQueueMs, queueMs, standingMs };
 }
 
@@ -60,7 +60,7 @@
   first: RefusedStep,
   { plan, queueLoad, context }: PlannedQuery,
 ): RefusedStep | undefined {
-  if (context.calling() === "blocked") {
+  if (context.permission() === "blocked") {
     return refuse(first, {
       reason: "leafs were lost under it",
       retryAfterMs: context.blockedForMs(),
--- a/telemetry/box_telemetry_test.ts
+++ b/telemetry/box_telemetry_test.ts
@@ -5,7 +5,7 @@
 import { join } from "node:path";
 import { createInterface } from "node:readline";
 import t from "tap";
-import { until } from "../standins/waiting.js";
+import { waitUntil } from "../standins/waiting.js";
 import { createBoxTelemetry, MAX_REQUEST_LINES_PER_SECOND } from "./box_telemetry.js";
 
 /** Creates a pipe that is not read until `read()` is called. */
@@ -13,7 +13,8 @@
   const folder = mkdtempSync(join(tmpdir(), "rackvale-log-"));
   const path = join(folder, "log");
   spawnSync("mkfifo", [path]);
-  // Opened for reading as well, because opening for writing only would block until there is a reader.
+  // Opened for reading as well, because opening for writing only would block until there is a
+  // reader.
   const logFd = openSync(path, constants.O_RDWR);
   return {
     folder,
@@ -51,7 +52,7 @@
   t.equal(first.length, 11);
   // Drains the pipe so that no write is pending when the test ends.
   input.resume();
-  await until(() => telemetry.flush(), "all lines are written");
+  await waitUntil(() => telemetry.flush(), "all lines are written");
   input.destroy();
 });
 
